--- a/src/main/java/cypressglade/adapter/Adapter.java
+++ b/src/main/java/cypressglade/adapter/Adapter.java
@@ -1,13 +1,5 @@
 package cypressglade.adapter;
 
-import java.io.BufferedInputStream;
-import java.io.IOException;
-import java.io.InputStream;
-import java.io.OutputStream;
-import java.io.PrintStream;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
 import cypressglade.config.ConfigException;
 import cypressglade.config.SettingsParser;
 import cypressglade.core.Brain;
@@ -17,6 +9,14 @@
 import cypressglade.core.Scheduler.Outcome;
 import cypressglade.core.Scheduler.Request;
 import cypressglade.core.Scheduler.Status;
+import java.io.BufferedInputStream;
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.OutputStream;
+import java.io.PrintStream;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
 
 /** Joins the wire on standard input and output to one scheduler for each head. Decides nothing. */
 public final class Adapter implements FrameReader.Handler {
@@ -28,7 +28,7 @@
     private final FrameWriter writer = new FrameWriter();
     private long clock;
 
-    private Adapter() { }
+    private Adapter() {}
 
     /** Runs the adapter until the input ends; returns the exit code. */
     public static int run(InputStream in, OutputStream out, PrintStream errors) {
@@ -61,7 +61,9 @@
     @Override
     public void open(int head, long seed, String settings) throws WireException {
         try {
-            heads.put(head, new Brain(clock, SettingsParser.parseLines(seed, settings), writer.of(head)));
+            heads.put(
+                    head,
+                    new Brain(clock, SettingsParser.parseLines(seed, settings), writer.of(head)));
         } catch (ConfigException bad) {
             throw new WireException(bad.getMessage());
         }
@@ -105,8 +107,8 @@
     }
 
     @Override
-    public void probed(int head, long node, Status status, long latencyUs,
-            float[] load) throws WireException {
+    public void probed(int head, long node, Status status, long latencyUs, float[] load)
+            throws WireException {
         head(head).probed(clock, node, status, latencyUs, load);
     }
 
--- a/src/main/java/cypressglade/adapter/FrameReader.java
+++ b/src/main/java/cypressglade/adapter/FrameReader.java
@@ -1,5 +1,11 @@
 package cypressglade.adapter;
 
+import cypressglade.core.Scheduler.ListKind;
+import cypressglade.core.Scheduler.NodeEntry;
+import cypressglade.core.Scheduler.Outcome;
+import cypressglade.core.Scheduler.Request;
+import cypressglade.core.Scheduler.State;
+import cypressglade.core.Scheduler.Status;
 import java.io.DataInputStream;
 import java.io.EOFException;
 import java.io.IOException;
@@ -10,12 +16,6 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import cypressglade.core.Scheduler.ListKind;
-import cypressglade.core.Scheduler.NodeEntry;
-import cypressglade.core.Scheduler.Outcome;
-import cypressglade.core.Scheduler.Request;
-import cypressglade.core.Scheduler.State;
-import cypressglade.core.Scheduler.Status;
 
 /** Decodes batches of events; little-endian, unpadded. */
 final class FrameReader {
@@ -43,7 +43,8 @@
         void streamStarted(int head, long requestId, int attempt, long node, long latencyUs)
                 throws WireException;
 
-        void probed(int head, long node, Status status, long latencyUs, float[] load) throws WireException;
+        void probed(int head, long node, Status status, long latencyUs, float[] load)
+                throws WireException;
 
         void timer(int head, long token) throws WireException;
     }
@@ -95,8 +96,12 @@
             try {
                 record(handler);
             } catch (BufferUnderflowException end) {
-                throw new WireException("record " + i + " at byte " + (HEADER + start)
-                        + " runs past the end of its frame");
+                throw new WireException(
+                        "record "
+                                + i
+                                + " at byte "
+                                + (HEADER + start)
+                                + " runs past the end of its frame");
             }
         }
         if (frame.hasRemaining()) {
@@ -109,14 +114,21 @@
         int code = u8();
         int head = u16();
         switch (code) {
-            case 16 -> handler.open(head, frame.getLong(), new String(bytes(u32()), StandardCharsets.UTF_8));
+            case 16 ->
+                    handler.open(
+                            head,
+                            frame.getLong(),
+                            new String(bytes(u32()), StandardCharsets.UTF_8));
             case 17 -> nodes(handler, head);
             case 18 -> {
                 long id = frame.getLong();
                 int attempt = u8();
                 long node = node();
-                handler.outcome(head, new Outcome(id, attempt, node, status(), u32(), u8() != 0, u16(), u16(),
-                        load()));
+                handler.outcome(
+                        head,
+                        new Outcome(
+                                id, attempt, node, status(), u32(), u8() != 0, u16(), u16(),
+                                load()));
             }
             case 19 -> handler.withdrawn(head, frame.getLong());
             case 20 -> handler.message(head, u32(), bytes(u16()));
@@ -147,8 +159,20 @@
         long volume = frame.getLong();
         long key = frame.getLong();
         float units = frame.getFloat();
-        handler.request(head, new Request(id, shard, requestClass, plan, heads, (flags & REPEAT_FLAG) != 0,
-                (flags & WRITE_FLAG) != 0, volume, key, units, u32()));
+        handler.request(
+                head,
+                new Request(
+                        id,
+                        shard,
+                        requestClass,
+                        plan,
+                        heads,
+                        (flags & REPEAT_FLAG) != 0,
+                        (flags & WRITE_FLAG) != 0,
+                        volume,
+                        key,
+                        units,
+                        u32()));
     }
 
     private void nodes(Handler handler, int head) throws WireException {
@@ -169,7 +193,8 @@
             float size = frame.getFloat();
             long node = node();
             long started = frame.getLong();
-            entries.add(new NodeEntry(node, zone, State.values()[state], shard, size, started, u16()));
+            entries.add(
+                    new NodeEntry(node, zone, State.values()[state], shard, size, started, u16()));
         }
         handler.nodes(head, ListKind.values()[kind], entries);
     }
@@ -189,7 +214,10 @@
         };
     }
 
-    /** Four address bytes and a port, kept as one number: address in the high bytes, first byte highest. */
+    /**
+     * Four address bytes and a port, kept as one number: address in the high bytes, first byte
+     * highest.
+     */
     private long node() {
         long node = 0;
         for (int i = 0; i < 4; i++) {
--- a/src/main/java/cypressglade/adapter/FrameWriter.java
+++ b/src/main/java/cypressglade/adapter/FrameWriter.java
@@ -1,10 +1,10 @@
 package cypressglade.adapter;
 
+import cypressglade.core.Scheduler.Actions;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
-import cypressglade.core.Scheduler.Actions;
 
 /** Encodes the actions of one reply; little-endian, unpadded. */
 final class FrameWriter {
@@ -86,7 +86,10 @@
 
         @Override
         public void tell(long toRank, byte[] text) {
-            begin(23, head, 6 + text.length).putInt((int) toRank).putShort((short) text.length).put(text);
+            begin(23, head, 6 + text.length)
+                    .putInt((int) toRank)
+                    .putShort((short) text.length)
+                    .put(text);
         }
 
         @Override
--- a/src/main/java/cypressglade/cli/BanFile.java
+++ b/src/main/java/cypressglade/cli/BanFile.java
@@ -14,9 +14,10 @@
 import java.util.Optional;
 
 /**
- * The bans of the operators' door on the disk, in the directory that the processes of an upgrade share. A
- * disk that fails for a while loses none: what could not be written or read is tried again by {@link #look}.
- * What the process beside this one has decided is taken over from there. One thread at a time.
+ * The bans of the operators' door on the disk, in the directory that the processes of an upgrade
+ * share. A disk that fails for a while loses none: what could not be written or read is tried again
+ * by {@link #look}. What the process beside this one has decided is taken over from there. One
+ * thread at a time.
  */
 final class BanFile {
     private static final System.Logger LOG = System.getLogger(BanFile.class.getName());
@@ -36,13 +37,25 @@
         this.drains = drains;
     }
 
-    /** Takes the bans that were kept; where the disk does not give them, {@link #look} does later. */
+    /**
+     * Takes the bans that were kept; where the disk does not give them, {@link #look} does later.
+     */
     void restore() {
         List<SnapshotStore.Found> found = store.read(Instant.now(), SnapshotStore.ANY_AGE);
-        boolean unreadable = found.stream().anyMatch(one -> one.fault() == SnapshotStore.Fault.UNREADABLE);
-        found.stream().filter(one -> one.fault() != SnapshotStore.Fault.NONE)
-                .forEach(one -> LOG.log(Level.WARNING, "{0} is ignored: {1}", one.file(), one.fault()));
-        found.stream().filter(one -> one.fault() == SnapshotStore.Fault.NONE).findFirst()
+        boolean unreadable =
+                found.stream().anyMatch(one -> one.fault() == SnapshotStore.Fault.UNREADABLE);
+        found.stream()
+                .filter(one -> one.fault() != SnapshotStore.Fault.NONE)
+                .forEach(
+                        one ->
+                                LOG.log(
+                                        Level.WARNING,
+                                        "{0} is ignored: {1}",
+                                        one.file(),
+                                        one.fault()));
+        found.stream()
+                .filter(one -> one.fault() == SnapshotStore.Fault.NONE)
+                .findFirst()
                 .ifPresent(one -> drains.restoreBans(ids(one)));
         restored = !unreadable;
         seen = modified();
@@ -70,7 +83,9 @@
 
     private void write() {
         try {
-            store.write(String.join("\n", drains.bans()).getBytes(StandardCharsets.UTF_8), Instant.now());
+            store.write(
+                    String.join("\n", drains.bans()).getBytes(StandardCharsets.UTF_8),
+                    Instant.now());
             unwritten = false;
             seen = modified();
             if (failing) {
@@ -80,8 +95,10 @@
         } catch (IOException full) {
             if (!failing) { // a series is told once, and its end
                 failing = true;
-                LOG.log(Level.WARNING, "bans hold, but cannot be kept for the next process yet: "
-                        + full.getMessage());
+                LOG.log(
+                        Level.WARNING,
+                        "bans hold, but cannot be kept for the next process yet: "
+                                + full.getMessage());
             }
         }
     }
@@ -89,12 +106,14 @@
     private void takeOver() {
         Optional<FileTime> now = modified();
         store.read(Instant.now(), SnapshotStore.ANY_AGE).stream()
-                .filter(one -> one.file().equals(file) && one.fault() == SnapshotStore.Fault.NONE).findFirst()
-                .ifPresent(one -> {
-                    seen = now;
-                    drains.setBans(ids(one));
-                    LOG.log(Level.INFO, "bans by the process beside: {0}", drains.bans());
-                });
+                .filter(one -> one.file().equals(file) && one.fault() == SnapshotStore.Fault.NONE)
+                .findFirst()
+                .ifPresent(
+                        one -> {
+                            seen = now;
+                            drains.setBans(ids(one));
+                            LOG.log(Level.INFO, "bans by the process beside: {0}", drains.bans());
+                        });
     }
 
     private static List<String> ids(SnapshotStore.Found found) {
--- a/src/main/java/cypressglade/cli/Doorway.java
+++ b/src/main/java/cypressglade/cli/Doorway.java
@@ -4,10 +4,10 @@
 import cypressglade.core.Retry;
 import cypressglade.core.Time;
 import cypressglade.operate.Door;
-import cypressglade.operate.Handover;
 import cypressglade.operate.HandDrains;
 import cypressglade.operate.HandDrains.Kind;
 import cypressglade.operate.HandDrains.Result;
+import cypressglade.operate.Handover;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
@@ -25,15 +25,17 @@
 import java.util.Optional;
 
 /**
- * What the operators' door acts on in a running scheduler: bans, kept in a directory that an upgrade shares
- * ({@code $TMPDIR}, {@code /tmp} without it), and the evacuation of clients. The bans are written to the disk
- * before the call is answered, on the door's thread.
+ * What the operators' door acts on in a running scheduler: bans, kept in a directory that an
+ * upgrade shares ({@code $TMPDIR}, {@code /tmp} without it), and the evacuation of clients. The
+ * bans are written to the disk before the call is answered, on the door's thread.
  */
 final class Doorway implements Door.Acts, AutoCloseable {
     private static final System.Logger LOG = System.getLogger(Doorway.class.getName());
     private static final int MOST_HOLDER = 128;
+
     /**
-     * How long an address that is taken, or a machine without room for a socket, is tried again at the start.
+     * How long an address that is taken, or a machine without room for a socket, is tried again at
+     * the start.
      */
     private static final Duration BIND_LIMIT = Duration.ofSeconds(5);
 
@@ -65,23 +67,34 @@
     private String failing = "";
 
     /**
-     * Takes the bans that were kept, and binds the door; it answers from {@link #start} on. A disk that fails
-     * keeps nobody from starting: what it refuses is tried again at each look.
+     * Takes the bans that were kept, and binds the door; it answers from {@link #start} on. A disk
+     * that fails keeps nobody from starting: what it refuses is tried again at each look.
      *
      * @param name the scheduler's name, which its next process has too
      * @throws IOException where the address is taken
      */
-    Doorway(InetSocketAddress address, String name, String temporary, HandDrains drains, Scheduler scheduler)
+    Doorway(
+            InetSocketAddress address,
+            String name,
+            String temporary,
+            HandDrains drains,
+            Scheduler scheduler)
             throws IOException {
         this.drains = drains;
         this.scheduler = scheduler;
-        directory = Path.of(temporary == null || temporary.isBlank() ? "/tmp" : temporary,
-                "cypressglade-" + name.replaceAll("[^A-Za-z0-9._-]", "_"));
+        directory =
+                Path.of(
+                        temporary == null || temporary.isBlank() ? "/tmp" : temporary,
+                        "cypressglade-" + name.replaceAll("[^A-Za-z0-9._-]", "_"));
         bans = new BanFile(directory, drains);
         bans.restore();
         lookAtOthers();
-        server = Retry.untilDone(BIND_LIMIT, "operators' door", IOException.class::isInstance,
-                () -> new DoorServer(address, new Door(this), this::look, Time::now));
+        server =
+                Retry.untilDone(
+                        BIND_LIMIT,
+                        "operators' door",
+                        IOException.class::isInstance,
+                        () -> new DoorServer(address, new Door(this), this::look, Time::now));
     }
 
     /** What is due now and then, on the door's thread. */
@@ -91,15 +104,17 @@
     }
 
     /**
-     * Whether this process serves alone: the lock once it is free, and marks of others. Where the disk does
-     * not tell, the last answer stands.
+     * Whether this process serves alone: the lock once it is free, and marks of others. Where the
+     * disk does not tell, the last answer stands.
      */
     private void lookAtOthers() {
         try {
             if (lock == null) {
                 takeLockOrMark();
             }
-            int now = Handover.processes(lock != null, UpgradeMark.other(directory, mark).isPresent());
+            int now =
+                    Handover.processes(
+                            lock != null, UpgradeMark.other(directory, mark).isPresent());
             if (now != processes) {
                 processes = now;
                 LOG.log(Level.INFO, "processes serving as this scheduler: {0}", now);
@@ -117,18 +132,26 @@
     /** The lock says who serves, a mark who comes beside; whoever gets the lock needs no mark. */
     private void takeLockOrMark() throws IOException {
         if (!Files.isDirectory(directory)) {
-            Files.createDirectories(directory, PosixFilePermissions.asFileAttribute(
-                    PosixFilePermissions.fromString("rwx------")));
+            Files.createDirectories(
+                    directory,
+                    PosixFilePermissions.asFileAttribute(
+                            PosixFilePermissions.fromString("rwx------")));
         }
         if (serving.isEmpty()) {
-            serving = Optional.of(FileChannel.open(directory.resolve("serving.lock"),
-                    StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE));
+            serving =
+                    Optional.of(
+                            FileChannel.open(
+                                    directory.resolve("serving.lock"),
+                                    StandardOpenOption.CREATE,
+                                    StandardOpenOption.READ,
+                                    StandardOpenOption.WRITE));
         }
         lock = tryLock(serving.get());
         if (lock != null) {
             removeMark();
             noteHolder(serving.get());
-        } else if (mark.isEmpty()) { // another process serves as this scheduler: an upgrade hands over
+        } else if (mark
+                .isEmpty()) { // another process serves as this scheduler: an upgrade hands over
             mark = Optional.of(UpgradeMark.leave(directory));
             if (takesClients) {
                 mark.get().serving();
@@ -136,7 +159,9 @@
         }
     }
 
-    /** The lock where no other holds it; another in this JVM counts as another process, as in tests. */
+    /**
+     * The lock where no other holds it; another in this JVM counts as another process, as in tests.
+     */
     private static FileLock tryLock(FileChannel channel) throws IOException {
         try {
             return channel.tryLock();
@@ -146,8 +171,8 @@
     }
 
     /**
-     * The holder's number stands in the file until a stop in order: one that is found is of a process that
-     * died.
+     * The holder's number stands in the file until a stop in order: one that is found is of a
+     * process that died.
      */
     private void noteHolder(FileChannel channel) throws IOException {
         ByteBuffer found = ByteBuffer.allocate(MOST_HOLDER);
@@ -157,8 +182,11 @@
             LOG.log(Level.WARNING, "the process before this one ended without a stop: {0}", before);
         }
         channel.truncate(0);
-        channel.write(ByteBuffer.wrap(("pid " + ProcessHandle.current().pid() + " started " + Instant.now())
-                .getBytes(StandardCharsets.US_ASCII)), 0);
+        channel.write(
+                ByteBuffer.wrap(
+                        ("pid " + ProcessHandle.current().pid() + " started " + Instant.now())
+                                .getBytes(StandardCharsets.US_ASCII)),
+                0);
     }
 
     private void removeMark() throws IOException {
@@ -187,9 +215,13 @@
     /** Whether a process beside this one takes clients on the same port; from any thread. */
     synchronized boolean relieved() {
         try {
-            return UpgradeMark.other(directory, mark).filter(UpgradeMark.Other::serving).isPresent();
+            return UpgradeMark.other(directory, mark)
+                    .filter(UpgradeMark.Other::serving)
+                    .isPresent();
         } catch (IOException unusable) {
-            LOG.log(Level.WARNING, "whether a process beside takes clients is not known: {0}",
+            LOG.log(
+                    Level.WARNING,
+                    "whether a process beside takes clients is not known: {0}",
                     unusable.toString());
             return false;
         }
--- a/src/main/java/cypressglade/cli/DoubtFile.java
+++ b/src/main/java/cypressglade/cli/DoubtFile.java
@@ -15,9 +15,10 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Writes in doubt over a restart. While the program runs the file says so; at a stop in order it gets the
- * writes that are in doubt then. Whoever finds it saying that the program runs knows nothing of what it had
- * sent, and takes all that could be in doubt for it. So nothing is written to the disk for a request.
+ * Writes in doubt over a restart. While the program runs the file says so; at a stop in order it
+ * gets the writes that are in doubt then. Whoever finds it saying that the program runs knows
+ * nothing of what it had sent, and takes all that could be in doubt for it. So nothing is written
+ * to the disk for a request.
  */
 final class DoubtFile {
     private static final System.Logger LOG = System.getLogger(DoubtFile.class.getName());
@@ -34,11 +35,19 @@
     /** Hands over what the former life left; all is in doubt where that did not stop in order. */
     void open(Engine engine) {
         boolean first = store.read(Instant.now(), SnapshotStore.ANY_AGE).isEmpty();
-        Optional<byte[]> former = store.newest(Instant.now(), SnapshotStore.ANY_AGE,
-                SnapshotStore.Found::body,
-                (found, why) -> LOG.log(Level.WARNING, "{0} is ignored: {1}", found.file(), why))
-                .filter(body -> body.length > 1 && body[0] == STOPPED)
-                .map(body -> Arrays.copyOfRange(body, 1, body.length));
+        Optional<byte[]> former =
+                store.newest(
+                                Instant.now(),
+                                SnapshotStore.ANY_AGE,
+                                SnapshotStore.Found::body,
+                                (found, why) ->
+                                        LOG.log(
+                                                Level.WARNING,
+                                                "{0} is ignored: {1}",
+                                                found.file(),
+                                                why))
+                        .filter(body -> body.length > 1 && body[0] == STOPPED)
+                        .map(body -> Arrays.copyOfRange(body, 1, body.length));
         try {
             if (!first) {
                 engine.doubts(former);
@@ -61,7 +70,10 @@
             System.arraycopy(held, 0, body, 1, held.length);
             write(body);
         } catch (ExecutionException | TimeoutException late) {
-            LOG.log(Level.WARNING, "writes in doubt are not kept: the next life takes all for it", late);
+            LOG.log(
+                    Level.WARNING,
+                    "writes in doubt are not kept: the next life takes all for it",
+                    late);
         } catch (InterruptedException cut) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/cypressglade/cli/InForce.java
+++ b/src/main/java/cypressglade/cli/InForce.java
@@ -9,9 +9,12 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What a scheduler runs by now, in the order in which an operator looks for it; times in milliseconds. */
+/**
+ * What a scheduler runs by now, in the order in which an operator looks for it; times in
+ * milliseconds.
+ */
 final class InForce {
-    private InForce() { }
+    private InForce() {}
 
     static Map<String, String> of(Config config, OperatorFiles files) {
         Map<String, String> values = new LinkedHashMap<>();
@@ -26,24 +29,47 @@
         values.put("node_connections", Integer.toString(config.budget().nodeConnections()));
         values.put("connect_timeout", config.connectTimeout().toMillis() + " ms");
         for (RequestClass type : config.settings().classes()) {
-            values.put("class " + type.name(), "aim " + millis(type.aimUs()) + ", deadline "
-                    + millis(type.deadlineUs()) + ", worth " + type.worth() + ", "
-                    + type.effect().name().toLowerCase(Locale.ROOT));
+            values.put(
+                    "class " + type.name(),
+                    "aim "
+                            + millis(type.aimUs())
+                            + ", deadline "
+                            + millis(type.deadlineUs())
+                            + ", worth "
+                            + type.worth()
+                            + ", "
+                            + type.effect().name().toLowerCase(Locale.ROOT));
         }
         for (Plan plan : config.settings().plans()) {
-            values.put("plan " + plan.name(), "reserve " + plan.reserveRate() + " units/s, limit "
-                    + (plan.limitRate() <= 0 ? "none"
-                            : plan.limitRate() + " units/s, burst " + plan.limitBurst())
-                    + ", weight " + plan.weight());
+            values.put(
+                    "plan " + plan.name(),
+                    "reserve "
+                            + plan.reserveRate()
+                            + " units/s, limit "
+                            + (plan.limitRate() <= 0
+                                    ? "none"
+                                    : plan.limitRate() + " units/s, burst " + plan.limitBurst())
+                            + ", weight "
+                            + plan.weight());
         }
         Limits limits = config.settings().limits();
-        values.put("schedulers", (config.settings().rank() + 1) + " of " + config.settings().heads()
-                + ", unless peers tell of more");
+        values.put(
+                "schedulers",
+                (config.settings().rank() + 1)
+                        + " of "
+                        + config.settings().heads()
+                        + ", unless peers tell of more");
         values.put("attempts", Integer.toString(limits.attempts()));
-        values.put("retry_after", limits.retryAfter() ? "up to " + millis(limits.maxRetryAfterUs())
-                : "not told");
-        values.put("cold nodes", limits.youngUnits() + " units in " + millis(limits.fallUs())
-                + " at first, a ramp of " + millis(limits.rampUs()));
+        values.put(
+                "retry_after",
+                limits.retryAfter() ? "up to " + millis(limits.maxRetryAfterUs()) : "not told");
+        values.put(
+                "cold nodes",
+                limits.youngUnits()
+                        + " units in "
+                        + millis(limits.fallUs())
+                        + " at first, a ramp of "
+                        + millis(limits.rampUs()));
         return values;
     }
 
--- a/src/main/java/cypressglade/cli/LabCommand.java
+++ b/src/main/java/cypressglade/cli/LabCommand.java
@@ -7,7 +7,6 @@
 import cypressglade.lab.FaultScript;
 import cypressglade.lab.FaultScript.Step;
 import cypressglade.lab.ProcessFleet;
-import cypressglade.member.Member.State;
 import cypressglade.member.Timing;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -25,7 +24,9 @@
     private static final int LEAST_PERIOD_MS = 100;
     private static final int MOST_PERIOD_MS = 10_000;
 
-    @Parameter(names = "--script", description = "the file with the steps; see docs/operating-fleet.md",
+    @Parameter(
+            names = "--script",
+            description = "the file with the steps; see docs/operating-fleet.md",
             required = true)
     private String script;
 
@@ -41,12 +42,22 @@
     @Override
     public void run(PrintStream out) throws ConfigException, IOException {
         if (members < LEAST_MEMBERS || members > MOST_MEMBERS) {
-            throw new ConfigException("--members " + members + " is not from " + LEAST_MEMBERS + " to "
-                    + MOST_MEMBERS);
+            throw new ConfigException(
+                    "--members "
+                            + members
+                            + " is not from "
+                            + LEAST_MEMBERS
+                            + " to "
+                            + MOST_MEMBERS);
         }
         if (periodMs < LEAST_PERIOD_MS || periodMs > MOST_PERIOD_MS) {
-            throw new ConfigException("--period-ms " + periodMs + " is not from " + LEAST_PERIOD_MS + " to "
-                    + MOST_PERIOD_MS);
+            throw new ConfigException(
+                    "--period-ms "
+                            + periodMs
+                            + " is not from "
+                            + LEAST_PERIOD_MS
+                            + " to "
+                            + MOST_PERIOD_MS);
         }
         Duration period = Duration.ofMillis(periodMs);
         List<Step> steps;
@@ -55,12 +66,16 @@
         } catch (FaultScript.Unusable unusable) {
             throw new ConfigException(unusable.getMessage());
         } catch (NoSuchFileException missing) {
-            throw new ConfigException("--script " + script
-                    + ": no such file; docs/operating-fleet.md has one");
+            throw new ConfigException(
+                    "--script " + script + ": no such file; docs/operating-fleet.md has one");
         }
         Bounds bounds = new Bounds(Timing.every(period), members);
-        out.println("bounds: crash to dead everywhere " + bounds.detect().toMillis()
-                + " ms, heal to one view " + bounds.heal().toMillis() + " ms");
+        out.println(
+                "bounds: crash to dead everywhere "
+                        + bounds.detect().toMillis()
+                        + " ms, heal to one view "
+                        + bounds.heal().toMillis()
+                        + " ms");
         Path folder = Files.createTempDirectory("cypressglade-lab");
         try (ProcessFleet fleet = new ProcessFleet(folder, members, period, seed)) {
             fleet.startAll(members);
@@ -92,8 +107,15 @@
     /** Prints the changes that were logged since the last time; how many there are now. */
     private static int tell(ProcessFleet fleet, int told, long began, PrintStream out) {
         List<ProcessFleet.Event> events = fleet.since(0);
-        events.subList(told, events.size()).forEach(event -> out.printf("%8d ms  %s: %s %s%n",
-                event.atMs() - began, ProcessFleet.name(event.seenBy()), event.name(), event.state()));
+        events.subList(told, events.size())
+                .forEach(
+                        event ->
+                                out.printf(
+                                        "%8d ms  %s: %s %s%n",
+                                        event.atMs() - began,
+                                        ProcessFleet.name(event.seenBy()),
+                                        event.name(),
+                                        event.state()));
         return events.size();
     }
 }
--- a/src/main/java/cypressglade/cli/Main.java
+++ b/src/main/java/cypressglade/cli/Main.java
@@ -35,35 +35,43 @@
     private static final Set<String> SERVING = Set.of("serve", "adapter", "check-config");
     private static final Duration ASK_LIMIT = Duration.ofSeconds(5);
 
-    private Main() { }
+    private Main() {}
 
     @Parameters(commandDescription = "run one scheduler until SIGTERM")
-    private static final class ServeCommand extends ConfigCommand { }
+    private static final class ServeCommand extends ConfigCommand {}
 
     @Parameters(commandDescription = "speak the simulator's wire on standard input and output")
-    private static final class AdapterCommand { }
+    private static final class AdapterCommand {}
 
     @Parameters(commandDescription = "print the version")
-    private static final class VersionCommand { }
+    private static final class VersionCommand {}
 
     @Parameters(commandDescription = "read the configuration and say what is wrong with it")
     private static final class CheckConfigCommand extends ConfigCommand {
-        @Parameter(names = "--start", description = "also start every part, on a free port, and stop it")
+        @Parameter(
+                names = "--start",
+                description = "also start every part, on a free port, and stop it")
         private boolean start;
     }
 
     /** Commands that take a configuration. */
     private static class ConfigCommand implements Reload.Source {
-        @Parameter(names = "--config", description = "config.json; by default what ROUTER_CONFIG names")
+        @Parameter(
+                names = "--config",
+                description = "config.json; by default what ROUTER_CONFIG names")
         private String config = System.getenv("ROUTER_CONFIG");
 
         @Parameter(names = "--nbd", description = "the file of the NBD front; off without it")
         private String nbd = "deploy/nbd.json";
 
-        @Parameter(names = "--peers", description = "the file of the talk with other schedulers; off without")
+        @Parameter(
+                names = "--peers",
+                description = "the file of the talk with other schedulers; off without")
         private String peers = "deploy/peers.json";
 
-        @Parameter(names = "--console", description = "the file of the control socket; off without it")
+        @Parameter(
+                names = "--console",
+                description = "the file of the control socket; off without it")
         private String console = "deploy/console.json";
 
         @Parameter(names = "--storms", description = "the file on retry storms; off without it")
@@ -71,8 +79,10 @@
 
         @Override
         public OperatorFiles readFiles(Config scheduler) throws ConfigException {
-            return new OperatorFiles(NbdConfigParser.read(Path.of(nbd), scheduler.settings()),
-                    PeersConfigParser.read(Path.of(peers)), ControlConfigParser.read(Path.of(console)),
+            return new OperatorFiles(
+                    NbdConfigParser.read(Path.of(nbd), scheduler.settings()),
+                    PeersConfigParser.read(Path.of(peers)),
+                    ControlConfigParser.read(Path.of(console)),
                     StormsConfigParser.read(Path.of(storms)));
         }
 
@@ -108,9 +118,14 @@
             throws ConfigException, IOException {
         ServeCommand serve = new ServeCommand();
         CheckConfigCommand check = new CheckConfigCommand();
-        JCommander commands = JCommander.newBuilder().programName("cypressglade").addCommand("serve", serve)
-                .addCommand("adapter", new AdapterCommand()).addCommand("check-config", check)
-                .addCommand("version", new VersionCommand()).build();
+        JCommander commands =
+                JCommander.newBuilder()
+                        .programName("cypressglade")
+                        .addCommand("serve", serve)
+                        .addCommand("adapter", new AdapterCommand())
+                        .addCommand("check-config", check)
+                        .addCommand("version", new VersionCommand())
+                        .build();
         // Those that serve must not pay at their start for the classes of those that ask.
         boolean serves = args.length > 0 && SERVING.contains(args[0]);
         Map<String, Asking> asking = serves ? Map.of() : asking(commands);
@@ -131,18 +146,34 @@
                 case "check-config" -> {
                     Config config = check.read();
                     OperatorFiles files = check.readFiles(config);
-                    out.println(config.name() + ": usable; " + config.settings().classes().size()
-                            + " classes, " + config.settings().plans().size() + " plans, "
-                            + config.known().entries().size() + " nodes known, NBD "
-                            + files.nbd().map(nbd -> "on " + nbd.listen()).orElse("off") + ", peers "
-                            + files.peers().map(PeersCommand::summary).orElse("off") + ", control socket "
-                            + files.control().map(control -> control.socket().toString()).orElse("off")
-                            + ", storms " + (files.storms().isPresent() ? "on" : "off"));
+                    out.println(
+                            config.name()
+                                    + ": usable; "
+                                    + config.settings().classes().size()
+                                    + " classes, "
+                                    + config.settings().plans().size()
+                                    + " plans, "
+                                    + config.known().entries().size()
+                                    + " nodes known, NBD "
+                                    + files.nbd().map(nbd -> "on " + nbd.listen()).orElse("off")
+                                    + ", peers "
+                                    + files.peers().map(PeersCommand::summary).orElse("off")
+                                    + ", control socket "
+                                    + files.control()
+                                            .map(control -> control.socket().toString())
+                                            .orElse("off")
+                                    + ", storms "
+                                    + (files.storms().isPresent() ? "on" : "off"));
                     return check.start && !starts(config, out) ? FAILED : OK;
                 }
                 case "version" -> {
-                    out.println("cypressglade " + Optional.ofNullable(
-                            Main.class.getPackage().getImplementationVersion()).orElse("(unpacked)"));
+                    out.println(
+                            "cypressglade "
+                                    + Optional.ofNullable(
+                                                    Main.class
+                                                            .getPackage()
+                                                            .getImplementationVersion())
+                                            .orElse("(unpacked)"));
                     return OK;
                 }
                 default -> throw new ParameterException("no command given");
@@ -159,12 +190,15 @@
         }
     }
 
-    private static int serve(ServeCommand command, PrintStream out) throws ConfigException, IOException {
+    private static int serve(ServeCommand command, PrintStream out)
+            throws ConfigException, IOException {
         Thread.setDefaultUncaughtExceptionHandler(new ThreadDeath());
         Reload reload = new Reload(command);
         if (!Signals.onHangUp(reload)) {
-            LOG.log(System.Logger.Level.WARNING, "SIGHUP is ignored by whoever started this program, as by"
-                    + " nohup: no new configuration is read; start it with the signal at its default");
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "SIGHUP is ignored by whoever started this program, as by"
+                            + " nohup: no new configuration is read; start it with the signal at its default");
         }
         Config config = Reload.readable(command::read);
         Rehearsal.play(config);
@@ -190,7 +224,10 @@
         return asking;
     }
 
-    /** Starts a scheduler beside whatever runs, and asks it for its health and for a request of no node. */
+    /**
+     * Starts a scheduler beside whatever runs, and asks it for its health and for a request of no
+     * node.
+     */
     private static boolean starts(Config config, PrintStream out) throws IOException {
         InetSocketAddress free = new InetSocketAddress("127.0.0.1", 0);
         try (Serve scheduler = new Serve(config.on(free), OperatorFiles.NONE)) {
@@ -198,44 +235,61 @@
             scheduler.start();
             String health = ask(scheduler, "/healthz", "");
             String type = config.settings().classes().get(0).name();
-            String request = ask(scheduler, "/" + type + "/0000000000000001/0000000000000002",
-                    "X-Trace-Id: 1\r\nTier: " + config.settings().plans().get(0).name()
-                            + "\r\nX-Expires-In-Ms: 500\r\nIO-Info: units=1,shard=0,hosts=1\r\n");
+            String request =
+                    ask(
+                            scheduler,
+                            "/" + type + "/0000000000000001/0000000000000002",
+                            "X-Trace-Id: 1\r\nTier: "
+                                    + config.settings().plans().get(0).name()
+                                    + "\r\nX-Expires-In-Ms: 500\r\nIO-Info: units=1,shard=0,hosts=1\r\n");
             out.println("health: " + health + "; a request: " + request);
             return health.endsWith(" 200 OK");
         }
     }
 
     private static String ask(Serve scheduler, String path, String headers) throws IOException {
-        try (Socket socket = new Socket(scheduler.address().getAddress(), scheduler.address().getPort())) {
+        try (Socket socket =
+                new Socket(scheduler.address().getAddress(), scheduler.address().getPort())) {
             socket.setSoTimeout((int) ASK_LIMIT.toMillis());
-            socket.getOutputStream().write(("GET " + path + " HTTP/1.1\r\nHost: check\r\n" + headers + "\r\n")
-                    .getBytes(StandardCharsets.US_ASCII));
-            return new BufferedReader(new InputStreamReader(socket.getInputStream(),
-                    StandardCharsets.US_ASCII)).readLine();
+            socket.getOutputStream()
+                    .write(
+                            ("GET " + path + " HTTP/1.1\r\nHost: check\r\n" + headers + "\r\n")
+                                    .getBytes(StandardCharsets.US_ASCII));
+            return new BufferedReader(
+                            new InputStreamReader(
+                                    socket.getInputStream(), StandardCharsets.US_ASCII))
+                    .readLine();
         }
     }
 
     private static int serve(Serve scheduler, Reload reload, PrintStream out) throws IOException {
         reload.to(scheduler);
         // Guards against a signal to stop between the first answer to /healthz and the hook.
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            try {
-                scheduler.drain();
-            } catch (InterruptedException cut) {
-                Thread.currentThread().interrupt();
-            }
-            out.print(scheduler.counters().text());
-            out.print(ProcessMemory.peak());
-            out.flush();
-            Runtime.getRuntime().halt(OK); // a planned stop is no failure, whatever the signal's own code
-        }, "stop"));
+        Runtime.getRuntime()
+                .addShutdownHook(
+                        new Thread(
+                                () -> {
+                                    try {
+                                        scheduler.drain();
+                                    } catch (InterruptedException cut) {
+                                        Thread.currentThread().interrupt();
+                                    }
+                                    out.print(scheduler.counters().text());
+                                    out.print(ProcessMemory.peak());
+                                    out.flush();
+                                    Runtime.getRuntime()
+                                            .halt(OK); // a planned stop is no failure, whatever
+                                    // the signal's own code
+                                },
+                                "stop"));
         if (scheduler.start()) {
             out.println("listening on " + scheduler.address());
         } // else a signal to stop came first, and the hook above ends the program
         scheduler.peerAddress().ifPresent(address -> out.println("peers on " + address));
         scheduler.nbdAddress().ifPresent(address -> out.println("NBD on " + address));
-        scheduler.operatorAddress().ifPresent(address -> out.println("operators' door on " + address));
+        scheduler
+                .operatorAddress()
+                .ifPresent(address -> out.println("operators' door on " + address));
         try {
             Thread.currentThread().join();
         } catch (InterruptedException end) {
--- a/src/main/java/cypressglade/cli/OperatorCommand.java
+++ b/src/main/java/cypressglade/cli/OperatorCommand.java
@@ -22,7 +22,10 @@
 import java.util.Optional;
 import java.util.UUID;
 
-/** A command that asks a running scheduler over its control socket; JSON with {@code --json}, or a table. */
+/**
+ * A command that asks a running scheduler over its control socket; JSON with {@code --json}, or a
+ * table.
+ */
 abstract class OperatorCommand implements Asking {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final Duration STEP = Duration.ofMillis(250);
@@ -47,9 +50,16 @@
 
     /** Where the socket is. */
     protected final Path socket() throws ConfigException {
-        return socket.isEmpty() ? ControlConfigParser.read(Path.of(file)).map(ControlConfig::socket)
-                .orElseThrow(() -> new ConfigException(file + ": is not there or says \"enabled\": false; "
-                        + "turn it on, or name the socket with --socket")) : Path.of(socket);
+        return socket.isEmpty()
+                ? ControlConfigParser.read(Path.of(file))
+                        .map(ControlConfig::socket)
+                        .orElseThrow(
+                                () ->
+                                        new ConfigException(
+                                                file
+                                                        + ": is not there or says \"enabled\": false; "
+                                                        + "turn it on, or name the socket with --socket"))
+                : Path.of(socket);
     }
 
     @Override
@@ -86,16 +96,19 @@
             rows.add(cells);
         }
         int[] widths = new int[names.length];
-        rows.forEach(row -> {
-            for (int i = 0; i < row.length; i++) {
-                widths[i] = Math.max(widths[i], row[i].length());
-            }
-        });
+        rows.forEach(
+                row -> {
+                    for (int i = 0; i < row.length; i++) {
+                        widths[i] = Math.max(widths[i], row[i].length());
+                    }
+                });
         for (String[] row : rows) {
             StringBuilder line = new StringBuilder();
             for (int i = 0; i < row.length; i++) {
-                line.append(String.format("%-" + (widths[i] + 2) + "s",
-                        row == names ? heading(row[i]) : row[i]));
+                line.append(
+                        String.format(
+                                "%-" + (widths[i] + 2) + "s",
+                                row == names ? heading(row[i]) : row[i]));
             }
             out.println(line.toString().stripTrailing());
         }
@@ -106,7 +119,8 @@
     }
 
     private static String cell(JsonNode value) {
-        return value.isFloatingPointNumber() ? String.format(Locale.ROOT, "%.1f", value.asDouble())
+        return value.isFloatingPointNumber()
+                ? String.format(Locale.ROOT, "%.1f", value.asDouble())
                 : value.asText();
     }
 
@@ -126,15 +140,26 @@
         }
 
         @Override
-        protected void act(ControlClient client, PrintStream out) { }
+        protected void act(ControlClient client, PrintStream out) {}
     }
 
     @Parameters(commandDescription = "show the storage nodes as the scheduler sees them")
     static final class Nodes extends OperatorCommand {
         @Override
         protected void act(ControlClient client, PrintStream out) throws IOException {
-            show(out, call(client, "view", Map.of()).path("nodes"), "id", "shard", "state", "us_a_unit",
-                    "units_out", "bound", "held", "answers", "answered_ago_ms", "hearsay");
+            show(
+                    out,
+                    call(client, "view", Map.of()).path("nodes"),
+                    "id",
+                    "shard",
+                    "state",
+                    "us_a_unit",
+                    "units_out",
+                    "bound",
+                    "held",
+                    "answers",
+                    "answered_ago_ms",
+                    "hearsay");
         }
     }
 
@@ -146,13 +171,20 @@
         }
     }
 
-    @Parameters(commandDescription = "show how many requests were given up since the start, by reason")
+    @Parameters(
+            commandDescription = "show how many requests were given up since the start, by reason")
     static final class Refusals extends OperatorCommand {
         @Override
         protected void act(ControlClient client, PrintStream out) throws IOException {
             var rows = JSON.createArrayNode();
-            call(client, "view", Map.of()).path("given_up").properties().forEach(reason ->
-                    rows.addObject().put("reason", reason.getKey()).put("count", reason.getValue().asLong()));
+            call(client, "view", Map.of())
+                    .path("given_up")
+                    .properties()
+                    .forEach(
+                            reason ->
+                                    rows.addObject()
+                                            .put("reason", reason.getKey())
+                                            .put("count", reason.getValue().asLong()));
             show(out, rows, "reason", "count");
         }
     }
@@ -174,7 +206,8 @@
         protected void act(ControlClient client, PrintStream out) throws IOException {
             long last = 0;
             do {
-                JsonNode events = call(client, "events", Map.of("after", Long.toString(last))).path("events");
+                JsonNode events =
+                        call(client, "events", Map.of("after", Long.toString(last))).path("events");
                 for (JsonNode event : events) {
                     last = event.path("number").asLong();
                     out.println(event);
@@ -195,19 +228,35 @@
         @Parameter(names = "--why", description = "why, for whoever looks later")
         private String why = "";
 
-        protected final JsonNode order(ControlClient client, String what, boolean force) throws IOException {
+        protected final JsonNode order(ControlClient client, String what, boolean force)
+                throws IOException {
             if (names.size() != 1) {
                 throw new ParameterException("name one node; see them with: nodes");
             }
-            return call(client, what, Map.of("node", names.get(0), "why", why, "force",
-                    Boolean.toString(force), "command", UUID.randomUUID().toString(), "who",
-                    Optional.ofNullable(System.getProperty("user.name")).orElse("?")));
+            return call(
+                    client,
+                    what,
+                    Map.of(
+                            "node",
+                            names.get(0),
+                            "why",
+                            why,
+                            "force",
+                            Boolean.toString(force),
+                            "command",
+                            UUID.randomUUID().toString(),
+                            "who",
+                            Optional.ofNullable(System.getProperty("user.name")).orElse("?")));
         }
 
         protected static void tell(PrintStream out, JsonNode answer, String acted, String already) {
-            out.println(answer.path("node").asText() + (answer.path("acted").asBoolean() ? acted : already)
-                    + (answer.path("durable").asBoolean() ? "" : "; it could NOT be written to the disk and "
-                    + "ends with a restart of the scheduler: make room, take it back and give it again"));
+            out.println(
+                    answer.path("node").asText()
+                            + (answer.path("acted").asBoolean() ? acted : already)
+                            + (answer.path("durable").asBoolean()
+                                    ? ""
+                                    : "; it could NOT be written to the disk and "
+                                            + "ends with a restart of the scheduler: make room, take it back and give it again"));
         }
     }
 
@@ -246,7 +295,10 @@
     static final class Undrain extends NodeOrder {
         @Override
         protected void act(ControlClient client, PrintStream out) throws IOException {
-            tell(out, order(client, "undrain", false), " is what the node list says it is",
+            tell(
+                    out,
+                    order(client, "undrain", false),
+                    " is what the node list says it is",
                     " was not drained by hand");
         }
     }
--- a/src/main/java/cypressglade/cli/PeersCommand.java
+++ b/src/main/java/cypressglade/cli/PeersCommand.java
@@ -26,14 +26,17 @@
 import java.util.Map;
 
 /** Shows whom a running instance knows, and what it learned, by asking it as a peer does. */
-@Parameters(commandDescription = "show the members that a running scheduler sees, and what it learned")
+@Parameters(
+        commandDescription = "show the members that a running scheduler sees, and what it learned")
 final class PeersCommand implements Asking {
     private static final int KEY_BYTES = 32;
 
     @Parameter(names = "--peers", description = "the file of the talk with other schedulers")
     private String file = "deploy/peers.json";
 
-    @Parameter(names = "--at", description = "ADDRESS:PORT to ask; by default where the file listens")
+    @Parameter(
+            names = "--at",
+            description = "ADDRESS:PORT to ask; by default where the file listens")
     private String at = "";
 
     @Parameter(names = "--json", description = "print JSON")
@@ -41,8 +44,16 @@
 
     /** A line for {@code check-config}. */
     static String summary(PeersConfig config) {
-        return config.name() + config.talk().map(talk -> " on " + text(talk.listen()) + " with "
-                + talk.seeds().size() + " seeds").orElse(" alone")
+        return config.name()
+                + config.talk()
+                        .map(
+                                talk ->
+                                        " on "
+                                                + text(talk.listen())
+                                                + " with "
+                                                + talk.seeds().size()
+                                                + " seeds")
+                        .orElse(" alone")
                 + config.snapshots().map(kept -> ", snapshots in " + kept.directory()).orElse("");
     }
 
@@ -58,10 +69,20 @@
 
     @Override
     public void run(PrintStream out) throws ConfigException, IOException {
-        PeersConfig config = PeersConfigParser.read(Path.of(file)).orElseThrow(() -> new ConfigException(
-                file + ": is not there or says \"enabled\": false; without it there are no peers to show"));
-        Talk talk = config.talk().orElseThrow(() -> new ConfigException(
-                file + ": names no \"listen\"; an instance that is alone has no peers to show"));
+        PeersConfig config =
+                PeersConfigParser.read(Path.of(file))
+                        .orElseThrow(
+                                () ->
+                                        new ConfigException(
+                                                file
+                                                        + ": is not there or says \"enabled\": false; without it there are no peers to show"));
+        Talk talk =
+                config.talk()
+                        .orElseThrow(
+                                () ->
+                                        new ConfigException(
+                                                file
+                                                        + ": names no \"listen\"; an instance that is alone has no peers to show"));
         PeerReport report = PeerReport.of(at.isEmpty() ? talk.listen() : address(at), talk.keys());
         out.print(json ? json(report) : table(report));
     }
@@ -69,7 +90,8 @@
     private static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         try {
-            return new InetSocketAddress(text.substring(0, Math.max(0, colon)),
+            return new InetSocketAddress(
+                    text.substring(0, Math.max(0, colon)),
                     Integer.parseInt(text.substring(colon + 1)));
         } catch (IllegalArgumentException notAnAddress) {
             throw new ParameterException("--at " + text + " is not ADDRESS:PORT");
@@ -81,19 +103,38 @@
     }
 
     private static String table(PeerReport report) {
-        StringBuilder table = new StringBuilder(String.format("%-24s %-22s %-8s %s%n", "MEMBER", "ADDRESS",
-                "STATE", "INCARNATION"));
+        StringBuilder table =
+                new StringBuilder(
+                        String.format(
+                                "%-24s %-22s %-8s %s%n",
+                                "MEMBER", "ADDRESS", "STATE", "INCARNATION"));
         for (Member member : report.members()) {
-            table.append(String.format("%-24s %-22s %-8s %d%n", member.name(), text(member.address()),
-                    state(member), member.incarnation()));
+            table.append(
+                    String.format(
+                            "%-24s %-22s %-8s %d%n",
+                            member.name(),
+                            text(member.address()),
+                            state(member),
+                            member.incarnation()));
         }
-        table.append(String.format("%n%-24s %-24s %9s %9s %10s %s%n", "NODE", "TOLD BY", "AGE s", "SILENT s",
-                "ms a UNIT", "ANSWERS"));
+        table.append(
+                String.format(
+                        "%n%-24s %-24s %9s %9s %10s %s%n",
+                        "NODE", "TOLD BY", "AGE s", "SILENT s", "ms a UNIT", "ANSWERS"));
         for (Word word : sorted(report.words())) {
-            table.append(String.format(Locale.ROOT, "%-24s %-24s %9.1f %9s %10.2f %d%n", word.node(),
-                    word.origin().name(), seconds(word, report.at()), word.silent()
-                            ? String.format(Locale.ROOT, "%.1f", word.silentFor().toMillis() / 1e3) : "-",
-                    word.paceUs() / 1e3, word.answers()));
+            table.append(
+                    String.format(
+                            Locale.ROOT,
+                            "%-24s %-24s %9.1f %9s %10.2f %d%n",
+                            word.node(),
+                            word.origin().name(),
+                            seconds(word, report.at()),
+                            word.silent()
+                                    ? String.format(
+                                            Locale.ROOT, "%.1f", word.silentFor().toMillis() / 1e3)
+                                    : "-",
+                            word.paceUs() / 1e3,
+                            word.answers()));
         }
         table.append(String.format("%n"));
         for (Map.Entry<String, Long> figure : report.figures().entrySet()) {
@@ -103,8 +144,11 @@
     }
 
     private static List<Word> sorted(List<Word> words) {
-        return words.stream().sorted(Comparator.comparing(Word::node)
-                .thenComparing(Word::at, Comparator.reverseOrder())).toList();
+        return words.stream()
+                .sorted(
+                        Comparator.comparing(Word::node)
+                                .thenComparing(Word::at, Comparator.reverseOrder()))
+                .toList();
     }
 
     private static String state(Member member) {
@@ -117,7 +161,8 @@
 
     private static String json(PeerReport report) throws IOException {
         StringWriter text = new StringWriter();
-        try (JsonGenerator out = new JsonFactory().createGenerator(text).useDefaultPrettyPrinter()) {
+        try (JsonGenerator out =
+                new JsonFactory().createGenerator(text).useDefaultPrettyPrinter()) {
             out.writeStartObject();
             out.writeArrayFieldStart("members");
             for (Member member : report.members()) {
--- a/src/main/java/cypressglade/cli/Rehearsal.java
+++ b/src/main/java/cypressglade/cli/Rehearsal.java
@@ -29,27 +29,38 @@
 import java.util.function.Consumer;
 
 /**
- * Made-up requests through parts of their own, over pipes inside the program, before the doors open. The
- * first real requests would pay for all loading and compiling otherwise: on part of a core they took five
- * times the work, and half of those of the first seconds were refused. The parts that serve learn nothing.
+ * Made-up requests through parts of their own, over pipes inside the program, before the doors
+ * open. The first real requests would pay for all loading and compiling otherwise: on part of a
+ * core they took five times the work, and half of those of the first seconds were refused. The
+ * parts that serve learn nothing.
  */
 final class Rehearsal {
     private static final int MOST_REQUESTS = 500;
     private static final int LANES = 8;
-    /** Requests that a node serves in the tightest aim, at the load that nodes are meant to bear. */
+
+    /**
+     * Requests that a node serves in the tightest aim, at the load that nodes are meant to bear.
+     */
     private static final double IN_AIM = 12;
+
     /** Requests a second that code which never ran bears on half a core. */
     private static final double BEARABLE = 70;
+
     /** What comes beyond that in so many seconds is worth rehearsing. */
     private static final double SECONDS = 4;
+
     /** So many requests run nearly every piece of code once. */
     private static final int LEAST_REQUESTS = LANES;
+
     private static final Duration MOST = Duration.ofMillis(2500);
+
     /** For what is still open then. */
     private static final Duration LAST = Duration.ofMillis(300);
+
     private static final int STACK_BYTES = 160 * 1024;
-    private static final byte[] ANSWER = ("HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\n" + "x".repeat(200))
-            .getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] ANSWER =
+            ("HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\n" + "x".repeat(200))
+                    .getBytes(StandardCharsets.US_ASCII);
 
     private final Config config;
     private final int requests;
@@ -69,12 +80,13 @@
     }
 
     /**
-     * By what is to come: where it is much, the first seconds would be lost to loading and compiling. Where
-     * many schedulers share the work, little comes to each, and closed doors lose more than slow answers:
-     * after a mass kill all of them are away at once.
+     * By what is to come: where it is much, the first seconds would be lost to loading and
+     * compiling. Where many schedulers share the work, little comes to each, and closed doors lose
+     * more than slow answers: after a mass kill all of them are away at once.
      */
     static int requests(Settings settings, int nodes) {
-        double tightest = settings.classes().stream().mapToLong(RequestClass::aimUs).min().orElse(1);
+        double tightest =
+                settings.classes().stream().mapToLong(RequestClass::aimUs).min().orElse(1);
         double aims = (double) Micros.of(Duration.ofSeconds(1)) / Math.max(1, tightest);
         double beyond = nodes * IN_AIM / settings.heads() * aims - BEARABLE;
         return (int) Math.max(LEAST_REQUESTS, Math.min(MOST_REQUESTS, beyond * SECONDS));
@@ -90,15 +102,45 @@
         NodeDirectory directory = new NodeDirectory();
         try (PipeLoop loop = new PipeLoop();
                 Engine engine = new Engine(config.settings(), directory, counters);
-                RequestPool pool = new RequestPool(config.budget().requests(), STACK_BYTES, counters)) {
-            NodeClient nodes = new NodeClient(new NodePool(loop, directory, counters, config.connectTimeout(),
-                    config.idleLimit(), config.budget().nodeConnections()),
-                    config.budget().answerBytes(), config.settings().loadNames());
+                RequestPool pool =
+                        new RequestPool(config.budget().requests(), STACK_BYTES, counters)) {
+            NodeClient nodes =
+                    new NodeClient(
+                            new NodePool(
+                                    loop,
+                                    directory,
+                                    counters,
+                                    config.connectTimeout(),
+                                    config.idleLimit(),
+                                    config.budget().nodeConnections()),
+                            config.budget().answerBytes(),
+                            config.settings().loadNames());
             engine.start(node -> nodes);
-            engine.told(new NodeList(1, true, List.of(new NodeList.Entry("rehearsal", config.listen(), 0,
-                    0, 0, State.READY, 1, Instant.EPOCH))));
-            ClientListener clients = new ClientListener(loop, config.settings(), engine, counters, pool,
-                    nodes, () -> true, config.budget(), Optional.empty());
+            engine.told(
+                    new NodeList(
+                            1,
+                            true,
+                            List.of(
+                                    new NodeList.Entry(
+                                            "rehearsal",
+                                            config.listen(),
+                                            0,
+                                            0,
+                                            0,
+                                            State.READY,
+                                            1,
+                                            Instant.EPOCH))));
+            ClientListener clients =
+                    new ClientListener(
+                            loop,
+                            config.settings(),
+                            engine,
+                            counters,
+                            pool,
+                            nodes,
+                            () -> true,
+                            config.budget(),
+                            Optional.empty());
             for (int i = 0; i < LANES; i++) {
                 loop.execute(() -> new Lane(loop.pipe(clients::accept)));
             }
@@ -114,16 +156,17 @@
 
     /** Dials nobody: each connection is a pipe to a node that answers at once. */
     private static final class PipeLoop extends Loop {
-        PipeLoop() throws IOException { }
+        PipeLoop() throws IOException {}
 
         @Override
         public Dial dial(InetSocketAddress address, Consumer<Wire> up, Runnable down) {
-            execute(() -> {
-                Wire[] ends = wires();
-                ends[0].listen(new Answering(ends[0]));
-                up.accept(ends[1]);
-            });
-            return () -> { };
+            execute(
+                    () -> {
+                        Wire[] ends = wires();
+                        ends[0].listen(new Answering(ends[0]));
+                        up.accept(ends[1]);
+                    });
+            return () -> {};
         }
     }
 
@@ -155,13 +198,23 @@
             List<RequestClass> classes = config.settings().classes();
             RequestClass type = classes.get(number % classes.size());
             String body = type.write() ? "x".repeat(200) : "";
-            wire.send(ByteBuffer.wrap(((type.write() ? "PUT /" : "GET /") + type.name()
-                    + String.format("/%016x/%016x", number % 40, number) + " HTTP/1.1\r\nHost: rehearsal\r\n"
-                    + "X-Trace-Id: " + number + "\r\nTier: " + plans.get(number % plans.size()).name()
-                    + "\r\nX-Expires-In-Ms: " + Micros.span(type.deadlineUs()).toMillis()
-                    + "\r\nIO-Info: units=1,shard=0,hosts=1\r\nContent-Length: " + body.length()
-                    + "\r\n\r\n" + body)
-                    .getBytes(StandardCharsets.US_ASCII)));
+            wire.send(
+                    ByteBuffer.wrap(
+                            ((type.write() ? "PUT /" : "GET /")
+                                            + type.name()
+                                            + String.format("/%016x/%016x", number % 40, number)
+                                            + " HTTP/1.1\r\nHost: rehearsal\r\n"
+                                            + "X-Trace-Id: "
+                                            + number
+                                            + "\r\nTier: "
+                                            + plans.get(number % plans.size()).name()
+                                            + "\r\nX-Expires-In-Ms: "
+                                            + Micros.span(type.deadlineUs()).toMillis()
+                                            + "\r\nIO-Info: units=1,shard=0,hosts=1\r\nContent-Length: "
+                                            + body.length()
+                                            + "\r\n\r\n"
+                                            + body)
+                                    .getBytes(StandardCharsets.US_ASCII)));
         }
 
         @Override
--- a/src/main/java/cypressglade/cli/Reload.java
+++ b/src/main/java/cypressglade/cli/Reload.java
@@ -37,9 +37,13 @@
         }
     }
 
-    /** Reads files again where the disk fails for a while; what is read and wrong is not tried again. */
+    /**
+     * Reads files again where the disk fails for a while; what is read and wrong is not tried
+     * again.
+     */
     static <T> T readable(Retry.Call<T, ConfigException> files) throws ConfigException {
-        return Retry.untilDone(READ_LIMIT, "configuration", UnreadableException.class::isInstance, files);
+        return Retry.untilDone(
+                READ_LIMIT, "configuration", UnreadableException.class::isInstance, files);
     }
 
     @Override
@@ -56,7 +60,10 @@
             LOG.log(System.Logger.Level.INFO, "reloaded: discovery at {0}", next.discovery());
         } catch (ConfigException unusable) {
             scheduler.counters().add(Counters.Name.RELOADS_REJECTED);
-            LOG.log(System.Logger.Level.ERROR, "the old configuration stays: {0}", unusable.getMessage());
+            LOG.log(
+                    System.Logger.Level.ERROR,
+                    "the old configuration stays: {0}",
+                    unusable.getMessage());
         }
     }
 }
--- a/src/main/java/cypressglade/cli/Serve.java
+++ b/src/main/java/cypressglade/cli/Serve.java
@@ -14,9 +14,9 @@
 import cypressglade.http.ClientListener;
 import cypressglade.http.DiscoveryWatch;
 import cypressglade.http.NodeClient;
+import cypressglade.member.Member;
 import cypressglade.nbd.NbdListener;
 import cypressglade.nbd.NbdNodeLink;
-import cypressglade.member.Member;
 import cypressglade.net.Loop;
 import cypressglade.net.NodePool;
 import cypressglade.operate.HandDrains;
@@ -41,18 +41,28 @@
 
     /** What comes within 0.7 s of the signal to stop is still owed an answer, on each front. */
     private static final Duration SERVE_ON = Duration.ofMillis(800);
-    /** The kill comes no sooner than the longest deadline, but at most so long, and a little more. */
+
+    /**
+     * The kill comes no sooner than the longest deadline, but at most so long, and a little more.
+     */
     private static final Duration MOST_COUNTED = Duration.ofSeconds(3);
+
     private static final Duration BEFORE_THE_KILL = Duration.ofMillis(400);
     private static final Duration LOOK = Duration.ofMillis(10);
     private static final Duration SETTLE = Duration.ofMillis(50);
+
     /** For clients to end their side once we have ended ours; before the kill. */
     private static final Duration LINGER = Duration.ofMillis(200);
-    /** The front asks for the health ten times a second and sends no new connection 0.2 s after a no. */
+
+    /**
+     * The front asks for the health ten times a second and sends no new connection 0.2 s after a
+     * no.
+     */
     private static final Duration FRONT_TURNED = Duration.ofMillis(300);
+
     /**
-     * What discovery has counts as told from a process's first moment, and its first list says so: the doors
-     * wait for it, but not for a discovery that is down.
+     * What discovery has counts as told from a process's first moment, and its first list says so:
+     * the doors wait for it, but not for a discovery that is down.
      */
     private static final Duration FIRST_LIST = Duration.ofSeconds(1);
 
@@ -92,53 +102,117 @@
         doubts = files.storms().flatMap(Terms::doubtDirectory).map(DoubtFile::new);
         doubts.ifPresent(kept -> kept.open(engine));
         pool = new RequestPool(config.budget().requests(), STACK_BYTES, counters);
-        connections = new NodePool(loop, directory, counters, config.connectTimeout(),
-                config.idleLimit(), config.budget().nodeConnections());
-        nodes = new NodeClient(connections, config.budget().answerBytes(), config.settings().loadNames());
+        connections =
+                new NodePool(
+                        loop,
+                        directory,
+                        counters,
+                        config.connectTimeout(),
+                        config.idleLimit(),
+                        config.budget().nodeConnections());
+        nodes =
+                new NodeClient(
+                        connections, config.budget().answerBytes(), config.settings().loadNames());
         nbdNodes = files.nbd().map(front -> new NbdNodeLink(connections, front));
-        engine.start(node -> nbdNodes.isPresent() && nbdNodes.get().speaksTo(directory.ready(node))
-                ? nbdNodes.get() : nodes);
+        engine.start(
+                node ->
+                        nbdNodes.isPresent() && nbdNodes.get().speaksTo(directory.ready(node))
+                                ? nbdNodes.get()
+                                : nodes);
         HandDrains drains = new HandDrains(engine::told, this::decided);
-        peers = files.peers().map(file -> new Peers(file, loop, engine, counters, // before who asks it
-                verdict -> ruled(verdict, drains)));
-        control = files.control().isEmpty() ? Optional.empty() : Optional.of(new Control(
-                files.control().get(), engine, counters, drains, () -> this.config.settings().classNames(),
-                this::members, () -> InForce.of(this.config, this.files)));
-        door = config.operator().isEmpty() ? Optional.empty() : Optional.of(new Doorway(
-                config.operator().get(), config.name(), System.getenv("TMPDIR"), drains,
-                new Doorway.Scheduler() {
-                    @Override
-                    public boolean started() {
-                        return ready;
-                    }
-
-                    @Override
-                    public void evacuate(boolean away) {
-                        Serve.this.evacuate(away);
-                        decided(MEMBER + memberName(), away ? EVACUATE : ACTIVATE);
-                    }
-
-                    @Override
-                    public Optional<String> fleet() {
-                        return peers.flatMap(Peers::view);
-                    }
-
-                    @Override
-                    public void beside(int processes) {
-                        Serve.this.beside(processes);
-                    }
-                }));
-        boolean byHand = control.isPresent() || door.isPresent() || peers.filter(Peers::shares).isPresent();
+        peers =
+                files.peers()
+                        .map(
+                                file ->
+                                        new Peers(
+                                                file,
+                                                loop,
+                                                engine,
+                                                counters, // before who asks it
+                                                verdict -> ruled(verdict, drains)));
+        control =
+                files.control().isEmpty()
+                        ? Optional.empty()
+                        : Optional.of(
+                                new Control(
+                                        files.control().get(),
+                                        engine,
+                                        counters,
+                                        drains,
+                                        () -> this.config.settings().classNames(),
+                                        this::members,
+                                        () -> InForce.of(this.config, this.files)));
+        door =
+                config.operator().isEmpty()
+                        ? Optional.empty()
+                        : Optional.of(
+                                new Doorway(
+                                        config.operator().get(),
+                                        config.name(),
+                                        System.getenv("TMPDIR"),
+                                        drains,
+                                        new Doorway.Scheduler() {
+                                            @Override
+                                            public boolean started() {
+                                                return ready;
+                                            }
+
+                                            @Override
+                                            public void evacuate(boolean away) {
+                                                Serve.this.evacuate(away);
+                                                decided(
+                                                        MEMBER + memberName(),
+                                                        away ? EVACUATE : ACTIVATE);
+                                            }
+
+                                            @Override
+                                            public Optional<String> fleet() {
+                                                return peers.flatMap(Peers::view);
+                                            }
+
+                                            @Override
+                                            public void beside(int processes) {
+                                                Serve.this.beside(processes);
+                                            }
+                                        }));
+        boolean byHand =
+                control.isPresent() || door.isPresent() || peers.filter(Peers::shares).isPresent();
         Consumer<NodeList> lists = byHand ? drains::told : engine::told;
         lists.accept(config.known());
-        discovery = new DiscoveryWatch(loop, config.discovery(), config.nodeLists(), directory, lists,
-                counters, config.settings().listOnRequest());
+        discovery =
+                new DiscoveryWatch(
+                        loop,
+                        config.discovery(),
+                        config.nodeLists(),
+                        directory,
+                        lists,
+                        counters,
+                        config.settings().listOnRequest());
         discovery.start();
-        clients = new ClientListener(loop, config.settings(), engine, counters, pool, nodes,
-                () -> ready && !evacuated, config.budget(),
-                files.storms().map(terms -> new Waves(terms.connects(), Time.now())));
-        blockClients = files.nbd().isEmpty() ? Optional.empty() : Optional.of(new NbdListener(loop,
-                files.nbd().get(), config.settings(), engine, directory, counters, pool, nbdNodes.get()));
+        clients =
+                new ClientListener(
+                        loop,
+                        config.settings(),
+                        engine,
+                        counters,
+                        pool,
+                        nodes,
+                        () -> ready && !evacuated,
+                        config.budget(),
+                        files.storms().map(terms -> new Waves(terms.connects(), Time.now())));
+        blockClients =
+                files.nbd().isEmpty()
+                        ? Optional.empty()
+                        : Optional.of(
+                                new NbdListener(
+                                        loop,
+                                        files.nbd().get(),
+                                        config.settings(),
+                                        engine,
+                                        directory,
+                                        counters,
+                                        pool,
+                                        nbdNodes.get()));
     }
 
     /**
@@ -187,8 +261,9 @@
     }
 
     /**
-     * Learns from peers and from discovery for a bounded time, and opens the doors. Whoever stops the program
-     * must be able to from here on: what is told to stop before its doors are open opens none.
+     * Learns from peers and from discovery for a bounded time, and opens the doors. Whoever stops
+     * the program must be able to from here on: what is told to stop before its doors are open
+     * opens none.
      *
      * @return whether the doors are open
      */
@@ -213,7 +288,9 @@
         }
     }
 
-    /** Turns the health around for good; false where the doors were never open, and nothing is owed. */
+    /**
+     * Turns the health around for good; false where the doors were never open, and nothing is owed.
+     */
     private boolean stopOpening() {
         synchronized (doors) {
             boolean wasReady = ready;
@@ -224,18 +301,21 @@
     }
 
     /**
-     * Sends clients away without stopping, or takes them again: the health says no at once, and once the
-     * front has seen it each answer ends its connection and idle ones are closed, so that none is held idle.
+     * Sends clients away without stopping, or takes them again: the health says no at once, and
+     * once the front has seen it each answer ends its connection and idle ones are closed, so that
+     * none is held idle.
      */
     private void evacuate(boolean away) {
         long turn = evacuations.incrementAndGet();
         evacuated = away;
         if (away) {
-            loop.after(FRONT_TURNED, () -> {
-                if (evacuations.get() == turn) {
-                    clients.leave();
-                }
-            });
+            loop.after(
+                    FRONT_TURNED,
+                    () -> {
+                        if (evacuations.get() == turn) {
+                            clients.leave();
+                        }
+                    });
         } else {
             clients.stay();
         }
@@ -246,7 +326,10 @@
         return door.map(Doorway::address);
     }
 
-    /** Takes a new configuration: each part is handed its own values whole, and what is open goes on. */
+    /**
+     * Takes a new configuration: each part is handed its own values whole, and what is open goes
+     * on.
+     */
     public void use(Config next, OperatorFiles files) {
         engine.use(next.settings());
         deal(next);
@@ -258,12 +341,15 @@
         if (files.peers().isPresent() && peers.isPresent()) {
             peers.get().use(files.peers().get());
         }
-        if (!next.listen().equals(config.listen()) || files.nbd().isPresent() != blockClients.isPresent()
+        if (!next.listen().equals(config.listen())
+                || files.nbd().isPresent() != blockClients.isPresent()
                 || files.peers().isPresent() != peers.isPresent()
                 || files.control().isPresent() != control.isPresent()
                 || !files.storms().equals(this.files.storms())
                 || next.budget().memoryMb() != config.budget().memoryMb()) {
-            LOG.log(System.Logger.Level.WARNING, "listeners and the heap change with a restart only");
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "listeners and the heap change with a restart only");
         }
         config = next;
         this.files = files;
@@ -297,10 +383,10 @@
     }
 
     /**
-     * Stops as a planned restart wants it. Clients go on using the connections that they have, and whoever
-     * would come through a stopped scheduler is lost: so it serves for as long as it is sure not to be
-     * killed, and all that was taken is answered first. Where an upgrade's next process takes clients on the
-     * same port, new connections are left to that one at once.
+     * Stops as a planned restart wants it. Clients go on using the connections that they have, and
+     * whoever would come through a stopped scheduler is lost: so it serves for as long as it is
+     * sure not to be killed, and all that was taken is answered first. Where an upgrade's next
+     * process takes clients on the same port, new connections are left to that one at once.
      */
     public void drain() throws InterruptedException {
         Instant told = Time.now();
@@ -315,10 +401,15 @@
     }
 
     private void answerAll(Instant told) throws InterruptedException {
-        Duration longest = config.settings().classes().stream().map(RequestClass::deadlineUs)
-                .map(Micros::span).max(Duration::compareTo).orElse(Duration.ZERO);
-        Instant served = told.plus(longest.compareTo(MOST_COUNTED) < 0 ? longest : MOST_COUNTED)
-                .plus(BEFORE_THE_KILL);
+        Duration longest =
+                config.settings().classes().stream()
+                        .map(RequestClass::deadlineUs)
+                        .map(Micros::span)
+                        .max(Duration::compareTo)
+                        .orElse(Duration.ZERO);
+        Instant served =
+                told.plus(longest.compareTo(MOST_COUNTED) < 0 ? longest : MOST_COUNTED)
+                        .plus(BEFORE_THE_KILL);
         if (door.filter(Doorway::relieved).isPresent()) {
             clients.leavePort();
         }
@@ -330,7 +421,10 @@
             blockClients.get().refuseCommands();
         }
         Thread.sleep(Time.until(served).toMillis());
-        LOG.log(System.Logger.Level.INFO, "stopping: {0} requests open, {1} clients connected", pool.open(),
+        LOG.log(
+                System.Logger.Level.INFO,
+                "stopping: {0} requests open, {1} clients connected",
+                pool.open(),
                 clients.connected());
         clients.end();
         pool.stopAll(); // those from before the signal may have longer to go than the program has
--- a/src/main/java/cypressglade/cli/ThreadDeath.java
+++ b/src/main/java/cypressglade/cli/ThreadDeath.java
@@ -3,8 +3,8 @@
 import java.lang.System.Logger.Level;
 
 /**
- * Logs the thread that died of an error, and why. Where it was one that serves all requests the program ends
- * with it: it would go on taking requests and answer none.
+ * Logs the thread that died of an error, and why. Where it was one that serves all requests the
+ * program ends with it: it would go on taking requests and answer none.
  */
 final class ThreadDeath implements Thread.UncaughtExceptionHandler {
     private static final System.Logger LOG = System.getLogger(ThreadDeath.class.getName());
--- a/src/main/java/cypressglade/cli/UpgradeMark.java
+++ b/src/main/java/cypressglade/cli/UpgradeMark.java
@@ -18,9 +18,9 @@
 import java.util.Optional;
 
 /**
- * The file by which a process that starts beside another tells it so, and that it takes clients. It is locked
- * for as long as its process lives: the kernel gives the lock back at its death, however early that comes. A
- * process number would not tell: it may be another's by then.
+ * The file by which a process that starts beside another tells it so, and that it takes clients. It
+ * is locked for as long as its process lives: the kernel gives the lock back at its death, however
+ * early that comes. A process number would not tell: it may be another's by then.
  */
 final class UpgradeMark implements AutoCloseable {
     private static final String PREFIX = "coming.";
@@ -31,25 +31,31 @@
     private final FileChannel channel;
 
     /** Another process's mark: whether it takes clients. */
-    record Other(boolean serving) { }
+    record Other(boolean serving) {}
 
     private UpgradeMark(Path file, FileChannel channel) {
         this.file = file;
         this.channel = channel;
     }
 
-    /** Leaves a mark. It gets its name once it is locked, so that nobody takes it for a dead one's. */
+    /**
+     * Leaves a mark. It gets its name once it is locked, so that nobody takes it for a dead one's.
+     */
     static UpgradeMark leave(Path directory) throws IOException {
         String unique = ProcessHandle.current().pid() + "." + System.nanoTime();
         Path unfinished = directory.resolve(UNFINISHED + unique);
-        FileChannel channel = FileChannel.open(unfinished, StandardOpenOption.CREATE_NEW,
-                StandardOpenOption.WRITE);
+        FileChannel channel =
+                FileChannel.open(
+                        unfinished, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
         try {
             if (channel.tryLock() == null) {
                 throw new IOException(unfinished + " is locked by another");
             }
-            Path file = Files.move(unfinished, directory.resolve(PREFIX + unique),
-                    StandardCopyOption.ATOMIC_MOVE);
+            Path file =
+                    Files.move(
+                            unfinished,
+                            directory.resolve(PREFIX + unique),
+                            StandardCopyOption.ATOMIC_MOVE);
             return new UpgradeMark(file, channel);
         } catch (IOException failed) {
             channel.close();
@@ -64,8 +70,8 @@
     }
 
     /**
-     * The mark of a process that lives, one that takes clients before one that does not; marks of dead ones
-     * are removed.
+     * The mark of a process that lives, one that takes clients before one that does not; marks of
+     * dead ones are removed.
      *
      * @param own this process's mark, which is passed over
      * @throws IOException where the directory cannot be read
@@ -81,8 +87,9 @@
     }
 
     /**
-     * Files of a kind whose processes live; those of dead ones are removed. This process's own is not
-     * touched: to open and close it anywhere in the process would give its lock back (POSIX, fcntl).
+     * Files of a kind whose processes live; those of dead ones are removed. This process's own is
+     * not touched: to open and close it anywhere in the process would give its lock back (POSIX,
+     * fcntl).
      */
     private static List<Path> living(Path directory, String prefix, Optional<UpgradeMark> own)
             throws IOException {
--- a/src/main/java/cypressglade/config/ControlConfigParser.java
+++ b/src/main/java/cypressglade/config/ControlConfigParser.java
@@ -5,9 +5,12 @@
 import java.nio.file.Path;
 import java.util.Optional;
 
-/** Reads {@code deploy/console.json}: nothing where the file is not there or says that the socket is off. */
+/**
+ * Reads {@code deploy/console.json}: nothing where the file is not there or says that the socket is
+ * off.
+ */
 public final class ControlConfigParser {
-    private ControlConfigParser() { }
+    private ControlConfigParser() {}
 
     /** The directory in it is taken from the file's own directory. */
     public static Optional<ControlConfig> read(Path path) throws ConfigException {
@@ -17,8 +20,12 @@
         }
         Path directory = path.toAbsolutePath().getParent().resolve(values.get().text("directory"));
         if (!Files.isDirectory(directory) || !Files.isWritable(directory)) {
-            throw values.get().bad("directory", "is no directory that this program may write to; make it "
-                    + "with: mkdir -p -m 700 " + directory);
+            throw values.get()
+                    .bad(
+                            "directory",
+                            "is no directory that this program may write to; make it "
+                                    + "with: mkdir -p -m 700 "
+                                    + directory);
         }
         return Optional.of(new ControlConfig(directory));
     }
--- a/src/main/java/cypressglade/config/JsonValues.java
+++ b/src/main/java/cypressglade/config/JsonValues.java
@@ -11,18 +11,19 @@
 
 /**
  * One pass of the streaming parser over a document, into values by path: {@code a.b} for a member,
- * {@code a.0} for an item, {@code a.count} for the length of a list of objects; a list of plain values is
- * joined with commas, as the simulator's first message has it.
+ * {@code a.0} for an item, {@code a.count} for the length of a list of objects; a list of plain
+ * values is joined with commas, as the simulator's first message has it.
  */
 final class JsonValues {
     private static final JsonFactory JSON = new JsonFactory();
 
     private final Map<String, String> values = new HashMap<>();
 
-    private JsonValues() { }
+    private JsonValues() {}
 
     /** Reads a whole document; {@code what} names it in the message of a failure. */
-    static Map<String, String> read(String what, byte[] text, int from, int length) throws ConfigException {
+    static Map<String, String> read(String what, byte[] text, int from, int length)
+            throws ConfigException {
         JsonValues reader = new JsonValues();
         try (JsonParser parser = JSON.createParser(text, from, length)) {
             if (parser.nextToken() != JsonToken.START_OBJECT) {
@@ -33,7 +34,8 @@
                 throw new ConfigException(what + ": something follows the JSON object");
             }
         } catch (IOException broken) {
-            throw new ConfigException(what + ": " + broken.getMessage().lines().findFirst().orElse("broken"));
+            throw new ConfigException(
+                    what + ": " + broken.getMessage().lines().findFirst().orElse("broken"));
         }
         return reader.values;
     }
@@ -58,7 +60,9 @@
     private void items(JsonParser parser, String path) throws IOException {
         List<String> plain = new ArrayList<>();
         int count = 0;
-        for (JsonToken token = parser.nextToken(); token != JsonToken.END_ARRAY; token = parser.nextToken()) {
+        for (JsonToken token = parser.nextToken();
+                token != JsonToken.END_ARRAY;
+                token = parser.nextToken()) {
             if (token.isScalarValue()) {
                 plain.add(parser.getText());
             } else {
--- a/src/main/java/cypressglade/config/Keys.java
+++ b/src/main/java/cypressglade/config/Keys.java
@@ -12,10 +12,10 @@
 import java.util.regex.Pattern;
 
 /**
- * Which keys a configuration has, whatever their values. A key that is not there counts as 0 or as no
- * permission, so a file that lost one in the middle of being written or edited would turn a limit off; a
- * reload takes a file only where it has all that the one in force has. The node list comes and goes by
- * itself and does not count.
+ * Which keys a configuration has, whatever their values. A key that is not there counts as 0 or as
+ * no permission, so a file that lost one in the middle of being written or edited would turn a
+ * limit off; a reload takes a file only where it has all that the one in force has. The node list
+ * comes and goes by itself and does not count.
  */
 final class Keys {
     private static final String KNOWN = "known.";
@@ -31,7 +31,8 @@
             if (path.startsWith(KNOWN)) {
                 continue;
             } else if (entry.matches()) {
-                List<Set<String>> list = entries.computeIfAbsent(entry.group(1), each -> new ArrayList<>());
+                List<Set<String>> list =
+                        entries.computeIfAbsent(entry.group(1), each -> new ArrayList<>());
                 int number = Integer.parseInt(entry.group(2));
                 while (list.size() <= number) {
                     list.add(new HashSet<>());
@@ -44,8 +45,8 @@
     }
 
     /**
-     * The path of a key that these have and the next file lacks. Entries of a list may come and go; each has
-     * to have what all entries of these have in common.
+     * The path of a key that these have and the next file lacks. Entries of a list may come and go;
+     * each has to have what all entries of these have in common.
      */
     Optional<String> lostIn(Keys next) {
         for (String path : single) {
--- a/src/main/java/cypressglade/config/NbdConfigParser.java
+++ b/src/main/java/cypressglade/config/NbdConfigParser.java
@@ -14,7 +14,9 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Reads {@code deploy/nbd.json}: nothing where the file is not there or says that the front is off. */
+/**
+ * Reads {@code deploy/nbd.json}: nothing where the file is not there or says that the front is off.
+ */
 public final class NbdConfigParser {
     private static final int LEAST_UNIT = 512;
     private static final int MOST_UNIT = 1 << 20;
@@ -35,7 +37,8 @@
         return values.isEmpty() ? Optional.empty() : Optional.of(parse(values.get(), settings));
     }
 
-    static Optional<NbdConfig> parse(String what, byte[] text, Settings settings) throws ConfigException {
+    static Optional<NbdConfig> parse(String what, byte[] text, Settings settings)
+            throws ConfigException {
         Optional<Values> values = Values.ifEnabled(what, text);
         return values.isEmpty() ? Optional.empty() : Optional.of(parse(values.get(), settings));
     }
@@ -50,16 +53,22 @@
         for (int i = 0; i < values.count("exports"); i++) {
             exports.add(export("exports." + i + "."));
         }
-        if (exports.isEmpty() || exports.stream().map(Export::name).distinct().count() != exports.size()) {
+        if (exports.isEmpty()
+                || exports.stream().map(Export::name).distinct().count() != exports.size()) {
             throw values.bad("exports", "must name at least one export, each once");
         }
         Map<String, InetSocketAddress> nodes = new LinkedHashMap<>();
         for (int i = 0; i < values.count("nodes"); i++) {
             nodes.put(values.text("nodes." + i + ".id"), values.address("nodes." + i + ".address"));
         }
-        return new NbdConfig(values.address("listen"), named("read_class", classes),
-                named("write_class", classes), (int) values.whole("unit_bytes", LEAST_UNIT, MOST_UNIT),
-                (int) values.whole("hosts", 1, MOST_HOSTS), List.copyOf(exports), nodes);
+        return new NbdConfig(
+                values.address("listen"),
+                named("read_class", classes),
+                named("write_class", classes),
+                (int) values.whole("unit_bytes", LEAST_UNIT, MOST_UNIT),
+                (int) values.whole("hosts", 1, MOST_HOSTS),
+                List.copyOf(exports),
+                nodes);
     }
 
     private Export export(String at) throws ConfigException {
@@ -69,7 +78,8 @@
         for (int i = 0; i < values.count(at + "extents"); i++) {
             String extent = at + "extents." + i + ".";
             end += values.whole(extent + "bytes", 1, size);
-            extents.add(new Extent(end, (int) values.whole(extent + "shard", 0, Integer.MAX_VALUE)));
+            extents.add(
+                    new Extent(end, (int) values.whole(extent + "shard", 0, Integer.MAX_VALUE)));
         }
         if (end != size) {
             throw values.bad(at + "extents", "must add up to the size");
@@ -82,8 +92,11 @@
         if (!volume.matches("[0-9a-fA-F]{16}")) {
             throw values.bad(at + "volume", "is not 16 hexadecimal digits");
         }
-        return new Export(name, Long.parseUnsignedLong(volume, 16),
-                named(at + "plan", settings.plans().stream().map(Plan::name).toList()), size,
+        return new Export(
+                name,
+                Long.parseUnsignedLong(volume, 16),
+                named(at + "plan", settings.plans().stream().map(Plan::name).toList()),
+                size,
                 List.copyOf(extents));
     }
 
--- a/src/main/java/cypressglade/config/NodeListParser.java
+++ b/src/main/java/cypressglade/config/NodeListParser.java
@@ -31,22 +31,32 @@
         List<NodeList.Entry> entries = new ArrayList<>();
         for (int i = 0; i < values.count(at + "servers"); i++) {
             String entry = at + "servers." + i + ".";
-            State state = Map.of("active", State.READY, "leaving", State.DRAINING, "left", State.GONE)
-                    .get(values.text(entry + "state"));
+            State state =
+                    Map.of("active", State.READY, "leaving", State.DRAINING, "left", State.GONE)
+                            .get(values.text(entry + "state"));
             if (state == null) {
                 throw values.bad(entry + "state", "is none of active, leaving, left");
             }
             InetSocketAddress address = state == State.GONE ? null : values.address(entry + "addr");
-            entries.add(new NodeList.Entry(values.text(entry + "id"), address,
-                    Math.max(0, zones.indexOf(values.text(entry + "zone", ""))),
-                    Math.max(0, kinds.indexOf(values.text(entry + "kind", ""))),
-                    state == State.GONE && values.text(entry + "cell", "").isEmpty() ? 0
-                            : (int) values.whole(entry + "cell", 0, MOST_CELLS),
-                    state, values.number(entry + "weight", 1),
-                    Instant.ofEpochMilli(values.text(entry + "started_ms", "").isEmpty() ? 0
-                            : values.whole(entry + "started_ms", 0, MOST_START))));
+            entries.add(
+                    new NodeList.Entry(
+                            values.text(entry + "id"),
+                            address,
+                            Math.max(0, zones.indexOf(values.text(entry + "zone", ""))),
+                            Math.max(0, kinds.indexOf(values.text(entry + "kind", ""))),
+                            state == State.GONE && values.text(entry + "cell", "").isEmpty()
+                                    ? 0
+                                    : (int) values.whole(entry + "cell", 0, MOST_CELLS),
+                            state,
+                            values.number(entry + "weight", 1),
+                            Instant.ofEpochMilli(
+                                    values.text(entry + "started_ms", "").isEmpty()
+                                            ? 0
+                                            : values.whole(entry + "started_ms", 0, MOST_START))));
         }
-        return new NodeList(values.whole(at + "version", 0, MOST_VERSION),
-                values.text(at + "full").equals("true"), entries);
+        return new NodeList(
+                values.whole(at + "version", 0, MOST_VERSION),
+                values.text(at + "full").equals("true"),
+                entries);
     }
 }
--- a/src/main/java/cypressglade/config/PeersConfigParser.java
+++ b/src/main/java/cypressglade/config/PeersConfigParser.java
@@ -18,8 +18,8 @@
 import java.util.TreeSet;
 
 /**
- * Reads {@code deploy/peers.json}: nothing where the file is not there or says that it is off. Paths in it
- * are taken from the file's own directory.
+ * Reads {@code deploy/peers.json}: nothing where the file is not there or says that it is off.
+ * Paths in it are taken from the file's own directory.
  */
 public final class PeersConfigParser {
     private static final int MOST_SEEDS = 16;
@@ -31,8 +31,10 @@
     private static final long MOST_LAG = 10;
     private static final long WINDOW_MS = 1000;
     private static final long MOST_WAIT_MS = 2000;
+
     /** Below, a scheduler that waits for its share of a core would be taken for silent. */
     private static final long LEAST_PERIOD_MS = 100;
+
     private static final long MOST_PERIOD_MS = 60_000;
     private static final long MOST_SPAN_S = 86_400;
 
@@ -47,33 +49,46 @@
     /** Reads the file and the key file that it names. */
     public static Optional<PeersConfig> read(Path path) throws ConfigException {
         Optional<Values> values = Values.ifEnabled(path);
-        return values.isEmpty() ? Optional.empty()
-                : Optional.of(new PeersConfigParser(values.get(), path.toAbsolutePath().getParent())
-                        .config());
+        return values.isEmpty()
+                ? Optional.empty()
+                : Optional.of(
+                        new PeersConfigParser(values.get(), path.toAbsolutePath().getParent())
+                                .config());
     }
 
     private PeersConfig config() throws ConfigException {
         String name = values.text("name");
         if (!name.matches(NAME)) {
-            throw values.bad("name", "is not 1 to " + MOST_NAME
-                    + " letters, digits, dots, dashes or underscores");
+            throw values.bad(
+                    "name",
+                    "is not 1 to " + MOST_NAME + " letters, digits, dots, dashes or underscores");
         }
-        Optional<Talk> talk = values.text("listen", "").isEmpty() ? Optional.empty() : Optional.of(talk());
-        Optional<Snapshots> snapshots = values.text("snapshot_dir", "").isEmpty() ? Optional.empty()
-                : Optional.of(snapshots());
+        Optional<Talk> talk =
+                values.text("listen", "").isEmpty() ? Optional.empty() : Optional.of(talk());
+        Optional<Snapshots> snapshots =
+                values.text("snapshot_dir", "").isEmpty()
+                        ? Optional.empty()
+                        : Optional.of(snapshots());
         if (talk.isEmpty() && snapshots.isEmpty()) {
             throw values.bad("enabled", "is true, but there is neither listen nor snapshot_dir");
         }
-        return new PeersConfig(name, talk, snapshots, (int) values.whole("most_nodes", 1, MOST_NODES, 1024),
+        return new PeersConfig(
+                name,
+                talk,
+                snapshots,
+                (int) values.whole("most_nodes", 1, MOST_NODES, 1024),
                 Duration.ofMillis(values.whole("start_wait_ms", 0, MOST_WAIT_MS, 200)));
     }
 
     private Talk talk() throws ConfigException {
         InetSocketAddress listen = values.address("listen");
-        Optional<InetSocketAddress> advertised = values.text("advertise", "").isEmpty() ? Optional.empty()
-                : Optional.of(values.address("advertise"));
+        Optional<InetSocketAddress> advertised =
+                values.text("advertise", "").isEmpty()
+                        ? Optional.empty()
+                        : Optional.of(values.address("advertise"));
         if (advertised.isEmpty() && listen.getAddress().isAnyLocalAddress()) {
-            throw values.bad("advertise",
+            throw values.bad(
+                    "advertise",
                     "is missing, and listen is every address: say where others reach this");
         }
         List<InetSocketAddress> seeds = new ArrayList<>();
@@ -87,12 +102,19 @@
         }
         Path keyFile = directory.resolve(values.text("key_file"));
         try {
-            return new Talk(listen, advertised, List.copyOf(seeds), KeyRing.read(keyFile),
+            return new Talk(
+                    listen,
+                    advertised,
+                    List.copyOf(seeds),
+                    KeyRing.read(keyFile),
                     Duration.ofSeconds(values.whole("refresh_s", 1, MOST_SPAN_S, 5)),
                     values.flag("share_cold", "true"),
-                    Timing.every(Duration.ofMillis(
-                            values.whole("period_ms", LEAST_PERIOD_MS, MOST_PERIOD_MS, 1000))),
-                    values.flag("view", "false"), terms());
+                    Timing.every(
+                            Duration.ofMillis(
+                                    values.whole(
+                                            "period_ms", LEAST_PERIOD_MS, MOST_PERIOD_MS, 1000))),
+                    values.flag("view", "false"),
+                    terms());
         } catch (IOException unusable) {
             throw values.bad("key_file", "cannot be used: " + unusable.getMessage());
         }
@@ -109,23 +131,35 @@
             }
         }
         if (!roster.contains(values.text("name")) || roster.size() > Terms.MOST_NAMES) {
-            throw values.bad("roster", "has to name this instance (name), and at most " + Terms.MOST_NAMES);
+            throw values.bad(
+                    "roster", "has to name this instance (name), and at most " + Terms.MOST_NAMES);
         }
         float floor = values.number("floor", FLOOR);
         if (!(floor > 0 && floor <= 1)) {
             throw values.bad("floor", "is not over 0 and at most 1");
         }
-        return Optional.of(new Terms(roster, floor, (int) values.whole("lag", 1, MOST_LAG, LAG),
-                Duration.ofMillis(values.whole("window_ms", LEAST_PERIOD_MS, MOST_PERIOD_MS, WINDOW_MS))));
+        return Optional.of(
+                new Terms(
+                        roster,
+                        floor,
+                        (int) values.whole("lag", 1, MOST_LAG, LAG),
+                        Duration.ofMillis(
+                                values.whole(
+                                        "window_ms", LEAST_PERIOD_MS, MOST_PERIOD_MS, WINDOW_MS))));
     }
 
     private Snapshots snapshots() throws ConfigException {
         Path kept = directory.resolve(values.text("snapshot_dir"));
         if (!Files.isDirectory(kept) || !Files.isWritable(kept)) {
-            throw values.bad("snapshot_dir", "is no directory that this program may write to; make it with: "
-                    + "mkdir -p -m 700 " + kept);
+            throw values.bad(
+                    "snapshot_dir",
+                    "is no directory that this program may write to; make it with: "
+                            + "mkdir -p -m 700 "
+                            + kept);
         }
-        return new Snapshots(kept, Duration.ofSeconds(values.whole("snapshot_every_s", 1, MOST_SPAN_S, 10)),
+        return new Snapshots(
+                kept,
+                Duration.ofSeconds(values.whole("snapshot_every_s", 1, MOST_SPAN_S, 10)),
                 Duration.ofSeconds(values.whole("snapshot_most_age_s", 1, MOST_SPAN_S, 120)));
     }
 }
--- a/src/main/java/cypressglade/config/SettingsParser.java
+++ b/src/main/java/cypressglade/config/SettingsParser.java
@@ -1,16 +1,16 @@
 package cypressglade.config;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Locale;
-import java.util.Map;
 import cypressglade.core.Scheduler.Effect;
 import cypressglade.core.Scheduler.Limits;
 import cypressglade.core.Scheduler.Plan;
 import cypressglade.core.Scheduler.RequestClass;
 import cypressglade.core.Scheduler.Scope;
 import cypressglade.core.Scheduler.Settings;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
 
 /** Reads the settings of an instance, by path. Unknown keys are skipped, absent ones are 0. */
 public final class SettingsParser {
@@ -44,22 +44,49 @@
     }
 
     private Settings settings(long seed) throws ConfigException {
-        return new Settings(seed, whole("rank"), Math.max(1, whole("balancers")), whole("zone"),
-                text("discovery").equals("on_request"), time("tickUs"), classes(), plans(),
-                list("report.names"), limits(), number("specifics.unitMean"), number("specifics.unitsTop"),
-                number("specifics.fairWorth"), number("specifics.idleWorth"), time("specifics.meterPeriodUs"),
-                flag("specifics.countsOthers"), Math.max(0, number("tariffs.probe")));
+        return new Settings(
+                seed,
+                whole("rank"),
+                Math.max(1, whole("balancers")),
+                whole("zone"),
+                text("discovery").equals("on_request"),
+                time("tickUs"),
+                classes(),
+                plans(),
+                list("report.names"),
+                limits(),
+                number("specifics.unitMean"),
+                number("specifics.unitsTop"),
+                number("specifics.fairWorth"),
+                number("specifics.idleWorth"),
+                time("specifics.meterPeriodUs"),
+                flag("specifics.countsOthers"),
+                Math.max(0, number("tariffs.probe")));
     }
 
     private Limits limits() throws ConfigException {
-        return new Limits(whole("limits.attemptsCap"), flag("limits.mayCancel"), flag("limits.probes"),
-                flag("limits.peers"), flag("limits.secondCopies"), flag("limits.retryAfter"),
-                time("limits.maxRetryAfterUs"), time("rules.stopSendingWithinUs"), time("rules.askWithinUs"),
-                values.containsKey("rules.budgetWindowUs") || values.containsKey("rules.furtherRatio")
+        return new Limits(
+                whole("limits.attemptsCap"),
+                flag("limits.mayCancel"),
+                flag("limits.probes"),
+                flag("limits.peers"),
+                flag("limits.secondCopies"),
+                flag("limits.retryAfter"),
+                time("limits.maxRetryAfterUs"),
+                time("rules.stopSendingWithinUs"),
+                time("rules.askWithinUs"),
+                values.containsKey("rules.budgetWindowUs")
+                        || values.containsKey("rules.furtherRatio")
                         || values.containsKey("rules.freeResends"),
-                number("rules.freeResends"), number("rules.furtherRatio"), time("rules.budgetWindowUs"),
-                number("rules.coldFrom"), time("rules.rampTimeUs"), number("rules.overloadFactor"),
-                time("rules.fallUs"), number("specifics.youngLimit"), time("rules.turnGapUs"),
+                number("rules.freeResends"),
+                number("rules.furtherRatio"),
+                time("rules.budgetWindowUs"),
+                number("rules.coldFrom"),
+                time("rules.rampTimeUs"),
+                number("rules.overloadFactor"),
+                time("rules.fallUs"),
+                number("specifics.youngLimit"),
+                time("rules.turnGapUs"),
                 Math.max(1, whole("limits.streamsPerConn")));
     }
 
@@ -68,12 +95,20 @@
         List<String> writes = list("specifics.changesData");
         for (int i = 0; i < whole("categories.count"); i++) {
             String at = "categories." + i + ".";
-            classes.add(new RequestClass(text(at + "name"), time(at + "objectiveUs"),
-                    number(at + "aimStretch"), time(at + "deadlineUs"), number(at + "worth"),
+            classes.add(
+                    new RequestClass(
+                            text(at + "name"),
+                            time(at + "objectiveUs"),
+                            number(at + "aimStretch"),
+                            time(at + "deadlineUs"),
+                            number(at + "worth"),
                             number(at + "lateWorth"),
-                    effect(at + "effect"), scope(at + "dedupScope"), time(at + "keyTtlUs"),
-                    flag(at + "keepOrder"), flag(at + "streamed"),
-                    i < writes.size() && writes.get(i).equals("true")));
+                            effect(at + "effect"),
+                            scope(at + "dedupScope"),
+                            time(at + "keyTtlUs"),
+                            flag(at + "keepOrder"),
+                            flag(at + "streamed"),
+                            i < writes.size() && writes.get(i).equals("true")));
         }
         return List.copyOf(classes);
     }
@@ -82,9 +117,16 @@
         List<Plan> plans = new ArrayList<>();
         for (int i = 0; i < whole("plans.count"); i++) {
             String at = "plans." + i + ".";
-            plans.add(new Plan(text(at + "name"), number(at + "baseRate"), number(at + "floorRate"),
-                    number(at + "parts"), number(at + "worthFactor"), number(at + "neverOver"),
-                    number(at + "limitBurst"), number(at + "limitSlack")));
+            plans.add(
+                    new Plan(
+                            text(at + "name"),
+                            number(at + "baseRate"),
+                            number(at + "floorRate"),
+                            number(at + "parts"),
+                            number(at + "worthFactor"),
+                            number(at + "neverOver"),
+                            number(at + "limitBurst"),
+                            number(at + "limitSlack")));
         }
         return List.copyOf(plans);
     }
--- a/src/main/java/cypressglade/config/StormsConfigParser.java
+++ b/src/main/java/cypressglade/config/StormsConfigParser.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 
 /**
- * Reads {@code deploy/storms.json}: nothing where the file is not there or says that it is off. A path in it
- * is taken from the file's own directory.
+ * Reads {@code deploy/storms.json}: nothing where the file is not there or says that it is off. A
+ * path in it is taken from the file's own directory.
  */
 public final class StormsConfigParser {
     private static final long MOST_SLOT_MS = 1000;
@@ -16,7 +16,7 @@
     private static final long MOST_CONNECTS = 100_000;
     private static final long MOST_DOUBT_S = 3600;
 
-    private StormsConfigParser() { }
+    private StormsConfigParser() {}
 
     /** Reads the file; each value that is not there is the usual one. */
     public static Optional<Terms> read(Path path) throws ConfigException {
@@ -26,20 +26,33 @@
         }
         Values values = enabled.get();
         Terms usual = Terms.USUAL;
-        Optional<Path> kept = values.text("doubt_dir", "").isEmpty() ? Optional.empty()
-                : Optional.of(path.toAbsolutePath().getParent().resolve(values.text("doubt_dir")));
+        Optional<Path> kept =
+                values.text("doubt_dir", "").isEmpty()
+                        ? Optional.empty()
+                        : Optional.of(
+                                path.toAbsolutePath()
+                                        .getParent()
+                                        .resolve(values.text("doubt_dir")));
         if (kept.isPresent() && !(Files.isDirectory(kept.get()) && Files.isWritable(kept.get()))) {
-            throw values.bad("doubt_dir", "is no directory that this program may write to; make it with: "
-                    + "mkdir -p -m 700 " + kept.get());
+            throw values.bad(
+                    "doubt_dir",
+                    "is no directory that this program may write to; make it with: "
+                            + "mkdir -p -m 700 "
+                            + kept.get());
         }
-        return Optional.of(new Terms(
-                Duration.ofMillis(values.whole("slot_ms", 1, MOST_SLOT_MS, usual.slot().toMillis())),
-                part(values, "room", usual.room(), false),
-                part(values, "second_tries", usual.secondTries(), true),
-                Duration.ofMillis(values.whole("back_ms", 0, MOST_BACK_MS, usual.back().toMillis())),
-                (int) values.whole("connects", 1, MOST_CONNECTS, usual.connects()),
-                Duration.ofSeconds(values.whole("doubt_s", 0, MOST_DOUBT_S, usual.doubt().toSeconds())),
-                kept));
+        return Optional.of(
+                new Terms(
+                        Duration.ofMillis(
+                                values.whole("slot_ms", 1, MOST_SLOT_MS, usual.slot().toMillis())),
+                        part(values, "room", usual.room(), false),
+                        part(values, "second_tries", usual.secondTries(), true),
+                        Duration.ofMillis(
+                                values.whole("back_ms", 0, MOST_BACK_MS, usual.back().toMillis())),
+                        (int) values.whole("connects", 1, MOST_CONNECTS, usual.connects()),
+                        Duration.ofSeconds(
+                                values.whole(
+                                        "doubt_s", 0, MOST_DOUBT_S, usual.doubt().toSeconds())),
+                        kept));
     }
 
     private static double part(Values values, String path, double otherwise, boolean none)
--- a/src/main/java/cypressglade/config/Values.java
+++ b/src/main/java/cypressglade/config/Values.java
@@ -16,14 +16,20 @@
         this.values = values;
     }
 
-    /** The values of an operator's file; nothing where it is not there or says that its part is off. */
+    /**
+     * The values of an operator's file; nothing where it is not there or says that its part is off.
+     */
     static Optional<Values> ifEnabled(Path path) throws ConfigException {
-        return Files.exists(path) ? ifEnabled(path.toString(), Config.bytes(path)) : Optional.empty();
+        return Files.exists(path)
+                ? ifEnabled(path.toString(), Config.bytes(path))
+                : Optional.empty();
     }
 
     static Optional<Values> ifEnabled(String what, byte[] text) throws ConfigException {
         Values values = new Values(what, JsonValues.read(what, text, 0, text.length));
-        return values.flag("enabled", values.text("enabled")) ? Optional.of(values) : Optional.empty();
+        return values.flag("enabled", values.text("enabled"))
+                ? Optional.of(values)
+                : Optional.empty();
     }
 
     boolean flag(String path, String otherwise) throws ConfigException {
@@ -64,7 +70,9 @@
     }
 
     int count(String path) throws ConfigException {
-        return values.containsKey(path + ".count") ? (int) whole(path + ".count", 0, Integer.MAX_VALUE) : 0;
+        return values.containsKey(path + ".count")
+                ? (int) whole(path + ".count", 0, Integer.MAX_VALUE)
+                : 0;
     }
 
     float number(String path, float otherwise) throws ConfigException {
@@ -83,7 +91,8 @@
         int colon = text.lastIndexOf(':');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
-            if (colon > 0 && text.substring(0, colon).matches("[0-9.]+|\\[[0-9a-fA-F:.]+]|localhost")) {
+            if (colon > 0
+                    && text.substring(0, colon).matches("[0-9.]+|\\[[0-9a-fA-F:.]+]|localhost")) {
                 return new InetSocketAddress(text.substring(0, colon), port);
             }
         } catch (IllegalArgumentException notAnAddress) {
@@ -93,7 +102,12 @@
     }
 
     ConfigException bad(String path, String why) {
-        return new ConfigException(what + ": " + path + " " + why
-                + (values.containsKey(path) ? ": " + values.get(path) : ""));
+        return new ConfigException(
+                what
+                        + ": "
+                        + path
+                        + " "
+                        + why
+                        + (values.containsKey(path) ? ": " + values.get(path) : ""));
     }
 }
--- a/src/main/java/cypressglade/console/Console.java
+++ b/src/main/java/cypressglade/console/Console.java
@@ -25,9 +25,10 @@
 import org.jline.utils.NonBlockingReader;
 
 /**
- * The console on a terminal. One thread follows the scheduler's frames, and comes back when it restarts; the
- * caller's takes keys, sends orders on a connection of their own, and draws. The terminal is restored however
- * this ends. Where there is none, a table is printed instead, once or again and again.
+ * The console on a terminal. One thread follows the scheduler's frames, and comes back when it
+ * restarts; the caller's takes keys, sends orders on a connection of their own, and draws. The
+ * terminal is restored however this ends. Where there is none, a table is printed instead, once or
+ * again and again.
  */
 public final class Console {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -65,8 +66,10 @@
     private void print(PrintStream out) throws IOException {
         try (ControlClient client = new ControlClient(socket)) {
             desk.show(View.of(JSON.readTree(client.call("view", Map.of()))));
-            Screen.draw(desk, "connected", PLAIN_WIDTH, PLAIN_HEIGHT).stream().map(line ->
-                    line.text().stripTrailing()).limit(PLAIN_HEIGHT - 1).forEach(out::println);
+            Screen.draw(desk, "connected", PLAIN_WIDTH, PLAIN_HEIGHT).stream()
+                    .map(line -> line.text().stripTrailing())
+                    .limit(PLAIN_HEIGHT - 1)
+                    .forEach(out::println);
         }
     }
 
@@ -76,7 +79,8 @@
         follower.start();
         Attributes before = terminal.enterRawMode();
         Thread restore = new Thread(() -> restore(terminal, before), "restore terminal");
-        Runtime.getRuntime().addShutdownHook(restore); // a kill must not leave a broken terminal behind
+        Runtime.getRuntime()
+                .addShutdownHook(restore); // a kill must not leave a broken terminal behind
         terminal.puts(Capability.enter_ca_mode);
         terminal.puts(Capability.cursor_invisible);
         try {
@@ -112,10 +116,14 @@
             }
             desk.show(latest.get());
             int columns = width;
-            List<AttributedString> lines = Screen.draw(desk, state, width, height).stream()
-                    .map(line -> new AttributedString(line.text(), style(line.look()))
-                            .columnSubSequence(0, columns))
-                    .limit(height).toList();
+            List<AttributedString> lines =
+                    Screen.draw(desk, state, width, height).stream()
+                            .map(
+                                    line ->
+                                            new AttributedString(line.text(), style(line.look()))
+                                                    .columnSubSequence(0, columns))
+                            .limit(height)
+                            .toList();
             display.update(lines, -1);
             if (keys.peekCharacter(REDRAW.toMillis()) != NonBlockingReader.READ_EXPIRED) {
                 String key = keys.readBinding(map);
@@ -166,14 +174,24 @@
         if (wish instanceof Desk.Leave) {
             leaving = true;
         } else if (wish instanceof Desk.Drain drain) {
-            order("drain", Map.of("node", drain.node(), "why", drain.why(), "force",
-                    Boolean.toString(drain.force())));
+            order(
+                    "drain",
+                    Map.of(
+                            "node",
+                            drain.node(),
+                            "why",
+                            drain.why(),
+                            "force",
+                            Boolean.toString(drain.force())));
         } else if (wish instanceof Desk.Undrain undrain) {
             order("undrain", Map.of("node", undrain.node()));
         }
     }
 
-    /** Sends an order until it is answered; under one name, so that it acts once however often it is sent. */
+    /**
+     * Sends an order until it is answered; under one name, so that it acts once however often it is
+     * sent.
+     */
     private void order(String what, Map<String, String> fields) {
         Map<String, String> order = new LinkedHashMap<>(fields);
         order.put("command", UUID.randomUUID().toString());
@@ -182,11 +200,20 @@
         while (true) {
             try (ControlClient client = new ControlClient(socket)) {
                 JsonNode answer = JSON.readTree(client.call(what, order));
-                desk.tell(!answer.path("ok").asBoolean()
-                        ? answer.path("error").asText() + "; " + answer.path("remedy").asText()
-                        : answer.path("node").asText() + ": " + what
-                                + (answer.path("acted").asBoolean() ? " is done" : " was done before")
-                                + (answer.path("durable").asBoolean() ? "" : ", but NOT on the disk"));
+                desk.tell(
+                        !answer.path("ok").asBoolean()
+                                ? answer.path("error").asText()
+                                        + "; "
+                                        + answer.path("remedy").asText()
+                                : answer.path("node").asText()
+                                        + ": "
+                                        + what
+                                        + (answer.path("acted").asBoolean()
+                                                ? " is done"
+                                                : " was done before")
+                                        + (answer.path("durable").asBoolean()
+                                                ? ""
+                                                : ", but NOT on the disk"));
                 return;
             } catch (IOException gone) {
                 if (System.nanoTime() > end || !pause()) {
--- a/src/main/java/cypressglade/console/Desk.java
+++ b/src/main/java/cypressglade/console/Desk.java
@@ -9,7 +9,13 @@
     private static final int MOST_TEXT = 120;
 
     /** What keys mean now. */
-    enum Mode { LOOK, FILTER, REASON, CONFIRM, HELP }
+    enum Mode {
+        LOOK,
+        FILTER,
+        REASON,
+        CONFIRM,
+        HELP
+    }
 
     /** By what nodes are sorted, and the heading of its column. */
     enum Sort {
@@ -29,13 +35,13 @@
     }
 
     /** What a key was for, beyond the screen. */
-    sealed interface Wish { }
+    sealed interface Wish {}
 
-    record Drain(String node, String why, boolean force) implements Wish { }
+    record Drain(String node, String why, boolean force) implements Wish {}
 
-    record Undrain(String node) implements Wish { }
+    record Undrain(String node) implements Wish {}
 
-    record Leave() implements Wish { }
+    record Leave() implements Wish {}
 
     private Mode mode = Mode.LOOK;
     private Sort sort = Sort.NODE;
@@ -62,7 +68,8 @@
     List<View.Node> nodes() {
         return view.nodes().stream()
                 .filter(node -> node.id().contains(filter) || node.state().contains(filter))
-                .sorted(sort.order.thenComparing(View.Node::id)).toList();
+                .sorted(sort.order.thenComparing(View.Node::id))
+                .toList();
     }
 
     /** Where the chosen node is in {@link #nodes}; 0 where it is not. */
@@ -152,7 +159,7 @@
             case "q", "end of input" -> {
                 return Optional.of(new Leave());
             }
-            default -> { }
+            default -> {}
         }
         return Optional.empty();
     }
@@ -201,10 +208,15 @@
     String prompt() {
         return switch (mode) {
             case FILTER -> "filter: " + text + "_   enter takes it, escape leaves it";
-            case REASON -> "drain " + selected + ", why? " + text + "_   enter goes on, escape leaves it";
-            case CONFIRM -> "drain " + selected + "?  y yes, f also if it alone holds its shard, else no";
-            default -> !message.isEmpty() ? message : (filter.isEmpty() ? "" : "filter " + filter + "  ")
-                    + "? help  d drain  u undrain  z undo  s sort  / filter  p pause  q quit";
+            case REASON ->
+                    "drain " + selected + ", why? " + text + "_   enter goes on, escape leaves it";
+            case CONFIRM ->
+                    "drain " + selected + "?  y yes, f also if it alone holds its shard, else no";
+            default ->
+                    !message.isEmpty()
+                            ? message
+                            : (filter.isEmpty() ? "" : "filter " + filter + "  ")
+                                    + "? help  d drain  u undrain  z undo  s sort  / filter  p pause  q quit";
         };
     }
 }
--- a/src/main/java/cypressglade/console/View.java
+++ b/src/main/java/cypressglade/console/View.java
@@ -7,47 +7,80 @@
 import java.util.Map;
 
 /** A frame of the control socket, as the console wants it. */
-record View(List<Node> nodes, List<Queue> queues, Map<String, Long> givenUp, Map<String, Long> counters,
-        List<String> events, List<String> members) {
-    static final View EMPTY = new View(List.of(), List.of(), Map.of(), Map.of(), List.of(), List.of());
+record View(
+        List<Node> nodes,
+        List<Queue> queues,
+        Map<String, Long> givenUp,
+        Map<String, Long> counters,
+        List<String> events,
+        List<String> members) {
+    static final View EMPTY =
+            new View(List.of(), List.of(), Map.of(), Map.of(), List.of(), List.of());
 
     /** A storage node. */
-    record Node(String id, int shard, String state, double msPerUnit, double unitsOut, double bound, int held,
-            long answeredAgoMs) { }
+    record Node(
+            String id,
+            int shard,
+            String state,
+            double msPerUnit,
+            double unitsOut,
+            double bound,
+            int held,
+            long answeredAgoMs) {}
 
     /** Work that is held of one class. */
-    record Queue(String name, int held, long oldestMs) { }
+    record Queue(String name, int held, long oldestMs) {}
 
     static View of(JsonNode frame) {
         List<Node> nodes = new ArrayList<>();
         for (JsonNode node : frame.path("nodes")) {
-            nodes.add(new Node(node.path("id").asText(), node.path("shard").asInt(),
-                    node.path("state").asText(), node.path("us_a_unit").asDouble() / 1000,
-                    node.path("units_out").asDouble(), node.path("bound").asDouble(),
-                    node.path("held").asInt(), node.path("answered_ago_ms").asLong()));
+            nodes.add(
+                    new Node(
+                            node.path("id").asText(),
+                            node.path("shard").asInt(),
+                            node.path("state").asText(),
+                            node.path("us_a_unit").asDouble() / 1000,
+                            node.path("units_out").asDouble(),
+                            node.path("bound").asDouble(),
+                            node.path("held").asInt(),
+                            node.path("answered_ago_ms").asLong()));
         }
         List<Queue> queues = new ArrayList<>();
         for (JsonNode queue : frame.path("queues")) {
-            queues.add(new Queue(queue.path("class").asText(), queue.path("held").asInt(),
-                    queue.path("oldest_ms").asLong()));
+            queues.add(
+                    new Queue(
+                            queue.path("class").asText(),
+                            queue.path("held").asInt(),
+                            queue.path("oldest_ms").asLong()));
         }
         List<String> events = new ArrayList<>();
         for (JsonNode event : frame.path("events")) {
-            StringBuilder line = new StringBuilder(time(event.path("at").asText()) + "  "
-                    + event.path("event").asText());
-            event.properties().forEach(field -> {
-                if (!List.of("at", "event", "number").contains(field.getKey())) {
-                    line.append("  ").append(field.getKey()).append('=').append(field.getValue().asText());
-                }
-            });
+            StringBuilder line =
+                    new StringBuilder(
+                            time(event.path("at").asText()) + "  " + event.path("event").asText());
+            event.properties()
+                    .forEach(
+                            field -> {
+                                if (!List.of("at", "event", "number").contains(field.getKey())) {
+                                    line.append("  ")
+                                            .append(field.getKey())
+                                            .append('=')
+                                            .append(field.getValue().asText());
+                                }
+                            });
             events.add(line.toString());
         }
         List<String> members = new ArrayList<>();
         for (JsonNode member : frame.path("members")) {
             members.add(member.path("name").asText() + " " + member.path("state").asText());
         }
-        return new View(nodes, queues, numbers(frame.path("given_up")), numbers(frame.path("counters")),
-                events, members);
+        return new View(
+                nodes,
+                queues,
+                numbers(frame.path("given_up")),
+                numbers(frame.path("counters")),
+                events,
+                members);
     }
 
     private static String time(String instant) {
@@ -56,7 +89,8 @@
 
     private static Map<String, Long> numbers(JsonNode object) {
         Map<String, Long> numbers = new LinkedHashMap<>();
-        object.properties().forEach(field -> numbers.put(field.getKey(), field.getValue().asLong()));
+        object.properties()
+                .forEach(field -> numbers.put(field.getKey(), field.getValue().asLong()));
         return numbers;
     }
 }
--- a/src/main/java/cypressglade/control/Call.java
+++ b/src/main/java/cypressglade/control/Call.java
@@ -11,16 +11,23 @@
 import java.util.Map;
 
 /**
- * A question or an order: one flat object of texts, numbers and truth values, on one line. {@code v} is the
- * version, {@code do} what is wanted, {@code id} comes back with the answer; others are for what is wanted.
+ * A question or an order: one flat object of texts, numbers and truth values, on one line. {@code
+ * v} is the version, {@code do} what is wanted, {@code id} comes back with the answer; others are
+ * for what is wanted.
  */
 record Call(String id, String what, Map<String, String> fields) {
     static final int VERSION = 1;
     private static final int MOST_TEXT = 4096;
     private static final int MOST_FIELDS = 16;
-    static final JsonFactory JSON = JsonFactory.builder().streamReadConstraints(
-            StreamReadConstraints.builder().maxNestingDepth(2).maxStringLength(MOST_TEXT)
-                    .maxNameLength(MOST_TEXT).build()).build();
+    static final JsonFactory JSON =
+            JsonFactory.builder()
+                    .streamReadConstraints(
+                            StreamReadConstraints.builder()
+                                    .maxNestingDepth(2)
+                                    .maxStringLength(MOST_TEXT)
+                                    .maxNameLength(MOST_TEXT)
+                                    .build())
+                    .build();
 
     /** What one line is answered with. */
     interface Result {
@@ -66,21 +73,23 @@
 
     /** The line of an answer. */
     static byte[] answer(String id, Result result) {
-        return line(out -> {
-            out.writeStringField("id", id);
-            out.writeBooleanField("ok", true);
-            result.write(out);
-        });
+        return line(
+                out -> {
+                    out.writeStringField("id", id);
+                    out.writeBooleanField("ok", true);
+                    result.write(out);
+                });
     }
 
     /** The line of a refusal; says what is wrong and what to do next. */
     static byte[] refusal(String id, String error, String remedy) {
-        return line(out -> {
-            out.writeStringField("id", id);
-            out.writeBooleanField("ok", false);
-            out.writeStringField("error", error);
-            out.writeStringField("remedy", remedy);
-        });
+        return line(
+                out -> {
+                    out.writeStringField("id", id);
+                    out.writeBooleanField("ok", false);
+                    out.writeStringField("error", error);
+                    out.writeStringField("remedy", remedy);
+                });
     }
 
     private static byte[] line(Result result) {
--- a/src/main/java/cypressglade/control/Control.java
+++ b/src/main/java/cypressglade/control/Control.java
@@ -28,12 +28,13 @@
 import java.util.function.Supplier;
 
 /**
- * What may be asked and ordered over the control socket. Orders are carried out and written to the disk on
- * the server's thread before they are answered; the fronts and the decision module never wait for it. The
- * engine's thread only gathers figures: they become text here.
+ * What may be asked and ordered over the control socket. Orders are carried out and written to the
+ * disk on the server's thread before they are answered; the fronts and the decision module never
+ * wait for it. The engine's thread only gathers figures: they become text here.
  */
 public final class Control implements ControlServer.Handler, AutoCloseable {
     private static final System.Logger LOG = System.getLogger(Control.class.getName());
+
     /** Drains hold however long the scheduler was away. */
     private static final Duration ANY_AGE = Duration.ofDays(36_500);
 
@@ -58,9 +59,15 @@
      * @param settings what the scheduler runs by now, by name
      * @throws IOException naming what is wrong and what to do
      */
-    public Control(ControlConfig config, Engine engine, Counters counters, HandDrains drains,
-            Supplier<List<String>> classes, Supplier<List<Member>> members,
-            Supplier<Map<String, String>> settings) throws IOException {
+    public Control(
+            ControlConfig config,
+            Engine engine,
+            Counters counters,
+            HandDrains drains,
+            Supplier<List<String>> classes,
+            Supplier<List<Member>> members,
+            Supplier<Map<String, String>> settings)
+            throws IOException {
         this.engine = engine;
         this.counters = counters;
         this.drains = drains;
@@ -84,24 +91,47 @@
                 }
                 LOG.log(Level.WARNING, "{0} is ignored: {1}", found.file(), found.fault());
             } catch (IOException unreadable) {
-                LOG.log(Level.WARNING, "{0} is ignored: {1}", found.file(), unreadable.getMessage());
+                LOG.log(
+                        Level.WARNING,
+                        "{0} is ignored: {1}",
+                        found.file(),
+                        unreadable.getMessage());
             }
         }
     }
 
     private void gather(Consumer<Picture> seen) {
-        engine.look((nodes, load) -> server.post(() -> seen.accept(new Picture(Time.now(), nodes,
-                classes.get(), load, drains.list()))));
+        engine.look(
+                (nodes, load) ->
+                        server.post(
+                                () ->
+                                        seen.accept(
+                                                new Picture(
+                                                        Time.now(),
+                                                        nodes,
+                                                        classes.get(),
+                                                        load,
+                                                        drains.list()))));
     }
 
     /** Tells when drains are done; asks the engine only while there are any that are not. */
     @Override
     public void tick() {
         if (drains.list().stream().anyMatch(drain -> !drain.done())) {
-            engine.views(facts -> server.post(() -> drains.seen(facts).forEach(done -> {
-                keep();
-                event("drain.done", Map.of("node", done.node()));
-            })));
+            engine.views(
+                    facts ->
+                            server.post(
+                                    () ->
+                                            drains.seen(facts)
+                                                    .forEach(
+                                                            done -> {
+                                                                keep();
+                                                                event(
+                                                                        "drain.done",
+                                                                        Map.of(
+                                                                                "node",
+                                                                                done.node()));
+                                                            })));
         }
     }
 
@@ -113,26 +143,40 @@
     @Override
     public void called(Call call, Consumer<byte[]> answer) {
         switch (call.what()) {
-            case "view" -> pictures.look(Time.now(), picture -> answer.accept(Call.answer(call.id(),
-                    out -> write(out, picture))));
+            case "view" ->
+                    pictures.look(
+                            Time.now(),
+                            picture ->
+                                    answer.accept(
+                                            Call.answer(call.id(), out -> write(out, picture))));
             case "drain" -> answer.accept(ordered(call, drains.drain(order(call), Instant.now())));
             case "undrain" -> answer.accept(ordered(call, drains.undrain(order(call))));
             case "settings" -> answer.accept(Call.answer(call.id(), this::writeSettings));
             case "events" -> answer.accept(Call.answer(call.id(), out -> write(out, after(call))));
-            default -> answer.accept(Call.refusal(call.id(), "\"do\":\"" + call.what()
-                    + "\" is not known here", "use one of view, watch, drain, undrain, events, settings"));
+            default ->
+                    answer.accept(
+                            Call.refusal(
+                                    call.id(),
+                                    "\"do\":\"" + call.what() + "\" is not known here",
+                                    "use one of view, watch, drain, undrain, events, settings"));
         }
     }
 
     @Override
     public void frame(Consumer<byte[]> line) {
-        pictures.look(Time.now(), picture -> line.accept(Call.answer("watch", out -> write(out, picture))));
+        pictures.look(
+                Time.now(),
+                picture -> line.accept(Call.answer("watch", out -> write(out, picture))));
     }
 
     private static Order order(Call call) {
         String command = call.field("command");
-        return new Order(command.isEmpty() ? "call " + UUID.randomUUID() : command, call.field("node"),
-                call.field("who"), call.field("why"), call.field("force").equals("true"));
+        return new Order(
+                command.isEmpty() ? "call " + UUID.randomUUID() : command,
+                call.field("node"),
+                call.field("who"),
+                call.field("why"),
+                call.field("force").equals("true"));
     }
 
     private List<Event> after(Call call) {
@@ -146,24 +190,47 @@
     private byte[] ordered(Call call, Result result) {
         String names = String.join(", ", result.names());
         return switch (result.kind()) {
-            case UNKNOWN_NODE -> Call.refusal(call.id(), "no node is called \"" + result.node() + "\"",
-                    "see the nodes with: nodes; there are " + names);
-            case AMBIGUOUS -> Call.refusal(call.id(), "\"" + result.node() + "\" fits several nodes",
-                    "give more of its id; it may be " + names);
-            case ONLY_NODE -> Call.refusal(call.id(), result.node() + " alone holds shard " + names
-                    + ": all its requests would be refused", "drain it all the same with --force");
+            case UNKNOWN_NODE ->
+                    Call.refusal(
+                            call.id(),
+                            "no node is called \"" + result.node() + "\"",
+                            "see the nodes with: nodes; there are " + names);
+            case AMBIGUOUS ->
+                    Call.refusal(
+                            call.id(),
+                            "\"" + result.node() + "\" fits several nodes",
+                            "give more of its id; it may be " + names);
+            case ONLY_NODE ->
+                    Call.refusal(
+                            call.id(),
+                            result.node()
+                                    + " alone holds shard "
+                                    + names
+                                    + ": all its requests would be refused",
+                            "drain it all the same with --force");
             default -> {
                 boolean acted = result.kind() == HandDrains.Kind.DONE;
                 boolean kept = !acted || keep();
                 if (acted) {
-                    event(call.what() + ".ordered", Map.of("node", result.node(), "who", call.field("who"),
-                            "why", call.field("why"), "durable", Boolean.toString(kept)));
+                    event(
+                            call.what() + ".ordered",
+                            Map.of(
+                                    "node",
+                                    result.node(),
+                                    "who",
+                                    call.field("who"),
+                                    "why",
+                                    call.field("why"),
+                                    "durable",
+                                    Boolean.toString(kept)));
                 }
-                yield Call.answer(call.id(), out -> {
-                    out.writeStringField("node", result.node());
-                    out.writeBooleanField("acted", acted);
-                    out.writeBooleanField("durable", kept);
-                });
+                yield Call.answer(
+                        call.id(),
+                        out -> {
+                            out.writeStringField("node", result.node());
+                            out.writeBooleanField("acted", acted);
+                            out.writeBooleanField("durable", kept);
+                        });
             }
         };
     }
@@ -190,7 +257,8 @@
         out.writeArrayFieldStart("queues");
         for (int i = 0; i < picture.load().held().length; i++) {
             out.writeStartObject();
-            out.writeStringField("class", i < picture.classes().size() ? picture.classes().get(i) : "?");
+            out.writeStringField(
+                    "class", i < picture.classes().size() ? picture.classes().get(i) : "?");
             out.writeNumberField("held", picture.load().held()[i]);
             out.writeNumberField("oldest_ms", picture.load().oldestUs()[i] / 1000);
             out.writeEndObject();
@@ -198,7 +266,8 @@
         out.writeEndArray();
         out.writeObjectFieldStart("given_up");
         for (Reason reason : Reason.values()) {
-            out.writeNumberField(reason.name().toLowerCase(Locale.ROOT),
+            out.writeNumberField(
+                    reason.name().toLowerCase(Locale.ROOT),
                     picture.load().givenUp()[reason.ordinal()]);
         }
         out.writeEndObject();
@@ -224,21 +293,32 @@
         write(out, all.subList(Math.max(0, all.size() - SHOWN_EVENTS), all.size()));
     }
 
-    private static void write(JsonGenerator out, NodeFact fact, Picture picture) throws IOException {
+    private static void write(JsonGenerator out, NodeFact fact, Picture picture)
+            throws IOException {
         out.writeStartObject();
         out.writeStringField("id", fact.known().id());
         out.writeNumberField("shard", fact.known().cell());
-        boolean byHand = picture.drains().stream().anyMatch(drain -> drain.node().equals(fact.known().id()));
-        out.writeStringField("state", byHand ? "drained by hand" : !fact.view().ready() ? "draining"
-                : fact.view().silent() ? "silent"
-                : fact.view().coldRoom() < Double.MAX_VALUE ? "cold" : "ready");
+        boolean byHand =
+                picture.drains().stream().anyMatch(drain -> drain.node().equals(fact.known().id()));
+        out.writeStringField(
+                "state",
+                byHand
+                        ? "drained by hand"
+                        : !fact.view().ready()
+                                ? "draining"
+                                : fact.view().silent()
+                                        ? "silent"
+                                        : fact.view().coldRoom() < Double.MAX_VALUE
+                                                ? "cold"
+                                                : "ready");
         out.writeNumberField("us_a_unit", Math.round(fact.view().paceUs()));
         out.writeNumberField("units_out", fact.view().outUnits());
         out.writeNumberField("bound", Math.max(0, fact.view().boundUnits()));
         out.writeNumberField("held", fact.view().held());
         out.writeNumberField("answers", fact.view().answers());
-        out.writeNumberField("answered_ago_ms", fact.view().answeredAgoUs() < 0 ? -1
-                : fact.view().answeredAgoUs() / 1000);
+        out.writeNumberField(
+                "answered_ago_ms",
+                fact.view().answeredAgoUs() < 0 ? -1 : fact.view().answeredAgoUs() / 1000);
         out.writeBooleanField("hearsay", fact.view().guarded());
         out.writeEndObject();
     }
--- a/src/main/java/cypressglade/control/ControlClient.java
+++ b/src/main/java/cypressglade/control/ControlClient.java
@@ -26,8 +26,12 @@
         try {
             channel = SocketChannel.open(UnixDomainSocketAddress.of(socket));
         } catch (IOException nobody) {
-            throw new IOException(socket + ": no scheduler answers there (" + nobody.getMessage()
-                    + "); start one with the control socket on, see docs/operating-console.md", nobody);
+            throw new IOException(
+                    socket
+                            + ": no scheduler answers there ("
+                            + nobody.getMessage()
+                            + "); start one with the control socket on, see docs/operating-console.md",
+                    nobody);
         }
         lines = new BufferedReader(Channels.newReader(channel, StandardCharsets.UTF_8));
     }
--- a/src/main/java/cypressglade/control/ControlServer.java
+++ b/src/main/java/cypressglade/control/ControlServer.java
@@ -25,9 +25,10 @@
 import java.util.function.Supplier;
 
 /**
- * The socket and its clients, on a thread of its own: XNIO has no Unix-domain sockets, and nothing that a
- * client does may cost the I/O thread. A client has at most one line coming in and a bounded number of bytes
- * going out; one that stops reading loses frames, and with an answer that does not fit its connection.
+ * The socket and its clients, on a thread of its own: XNIO has no Unix-domain sockets, and nothing
+ * that a client does may cost the I/O thread. A client has at most one line coming in and a bounded
+ * number of bytes going out; one that stops reading loses frames, and with an answer that does not
+ * fit its connection.
  */
 public final class ControlServer implements AutoCloseable {
     private static final System.Logger LOG = System.getLogger(ControlServer.class.getName());
@@ -36,7 +37,8 @@
     private static final int MOST_UNSENT = 512 * 1024;
     private static final Duration MOST_HALF_LINE = Duration.ofSeconds(5);
     private static final Duration FRAME_GAP = Duration.ofMillis(250);
-    private static final Set<PosixFilePermission> OWNER = PosixFilePermissions.fromString("rw-------");
+    private static final Set<PosixFilePermission> OWNER =
+            PosixFilePermissions.fromString("rw-------");
 
     private final Path path;
     private final Handler handler;
@@ -63,7 +65,8 @@
     /**
      * Takes the socket over from one that died.
      *
-     * @throws IOException where another scheduler has it, or the directory is not the operator's own
+     * @throws IOException where another scheduler has it, or the directory is not the operator's
+     *     own
      */
     ControlServer(Path path, Handler handler, Supplier<Instant> clock) throws IOException {
         this.path = path;
@@ -90,7 +93,8 @@
         Set<PosixFilePermission> open = new HashSet<>(Files.getPosixFilePermissions(directory));
         open.removeAll(PosixFilePermissions.fromString("rwx------"));
         if (!open.isEmpty()) {
-            throw new IOException(directory + ": others may enter it; close it with: chmod 700 " + directory);
+            throw new IOException(
+                    directory + ": others may enter it; close it with: chmod 700 " + directory);
         }
     }
 
@@ -98,12 +102,14 @@
         if (!Files.exists(path, LinkOption.NOFOLLOW_LINKS)) {
             return;
         }
-        if (!Files.getOwner(path, LinkOption.NOFOLLOW_LINKS).equals(Files.getOwner(path.getParent()))) {
-            throw new IOException(path + ": belongs to another user than its directory; remove it by hand");
+        if (!Files.getOwner(path, LinkOption.NOFOLLOW_LINKS)
+                .equals(Files.getOwner(path.getParent()))) {
+            throw new IOException(
+                    path + ": belongs to another user than its directory; remove it by hand");
         }
         if (answers()) {
-            throw new IOException(path
-                    + ": a scheduler that runs has it; stop it, or name another directory");
+            throw new IOException(
+                    path + ": a scheduler that runs has it; stop it, or name another directory");
         }
         Files.delete(path); // who listened there is gone
     }
@@ -136,7 +142,9 @@
                 }
                 selector.selectedKeys().clear();
                 Instant now = clock.get();
-                List.copyOf(clients).stream().filter(client -> client.stuck(now)).forEach(this::drop);
+                List.copyOf(clients).stream()
+                        .filter(client -> client.stuck(now))
+                        .forEach(this::drop);
                 handler.tick();
                 if (watched && !now.isBefore(nextFrame)) {
                     nextFrame = now.plus(FRAME_GAP);
@@ -179,8 +187,12 @@
             }
             channel.configureBlocking(false);
             if (clients.size() >= MOST_CLIENTS) {
-                channel.write(ByteBuffer.wrap(Call.refusal("", "there are " + MOST_CLIENTS
-                        + " clients already", "close a console and try again")));
+                channel.write(
+                        ByteBuffer.wrap(
+                                Call.refusal(
+                                        "",
+                                        "there are " + MOST_CLIENTS + " clients already",
+                                        "close a console and try again")));
                 channel.close();
                 return;
             }
@@ -192,7 +204,8 @@
 
     private void show(byte[] line) {
         for (Client client : List.copyOf(clients)) {
-            if (client.watching && client.output.isEmpty()) { // or it has not read the last: this one is lost
+            if (client.watching
+                    && client.output.isEmpty()) { // or it has not read the last: this one is lost
                 client.send(line);
             }
         }
@@ -314,8 +327,10 @@
             while (!output.isEmpty()) {
                 unsent -= channel.write(output.peek());
                 if (output.peek().hasRemaining()) {
-                    key.interestOps(ending ? SelectionKey.OP_WRITE
-                            : SelectionKey.OP_READ | SelectionKey.OP_WRITE);
+                    key.interestOps(
+                            ending
+                                    ? SelectionKey.OP_WRITE
+                                    : SelectionKey.OP_READ | SelectionKey.OP_WRITE);
                     return;
                 }
                 output.poll();
--- a/src/main/java/cypressglade/control/DoorServer.java
+++ b/src/main/java/cypressglade/control/DoorServer.java
@@ -20,19 +20,22 @@
 import java.util.function.Supplier;
 
 /**
- * The operators' door on TCP, on a thread of its own: a call may write to the disk before it is answered, and
- * that must cost neither the I/O thread nor the engine. Each connection carries one line and gets one line,
- * then is closed. Only callers on this machine (loopback) are heard; others are closed unheard.
+ * The operators' door on TCP, on a thread of its own: a call may write to the disk before it is
+ * answered, and that must cost neither the I/O thread nor the engine. Each connection carries one
+ * line and gets one line, then is closed. Only callers on this machine (loopback) are heard; others
+ * are closed unheard.
  *
  * <p>Callers that connect and send nothing, or half a line, hold a place for 5 s at most; beyond
- * {@value #MOST_CALLERS} at once the one waiting longest makes way, so that slow callers keep no one out.
+ * {@value #MOST_CALLERS} at once the one waiting longest makes way, so that slow callers keep no
+ * one out.
  */
 public final class DoorServer implements AutoCloseable {
     private static final System.Logger LOG = System.getLogger(DoorServer.class.getName());
     private static final int MOST_CALLERS = 16;
     private static final Duration MOST_WAIT = Duration.ofSeconds(5);
     private static final long TICK_MS = 250;
-    private static final String TOO_LONG = "400 a call is one line of at most " + Door.MOST_LINE + " bytes";
+    private static final String TOO_LONG =
+            "400 a call is one line of at most " + Door.MOST_LINE + " bytes";
 
     private final Door door;
     private final Runnable tick;
@@ -57,8 +60,10 @@
     /**
      * Binds the door.
      *
-     * @param tick run on the door's thread every {@value #TICK_MS} ms at most; must not block for long
-     * @throws IOException where the address is taken or cannot be had; the message names the address
+     * @param tick run on the door's thread every {@value #TICK_MS} ms at most; must not block for
+     *     long
+     * @throws IOException where the address is taken or cannot be had; the message names the
+     *     address
      */
     public DoorServer(InetSocketAddress address, Door door, Runnable tick, Supplier<Instant> clock)
             throws IOException {
@@ -74,8 +79,13 @@
             listening.register(selector, SelectionKey.OP_ACCEPT);
         } catch (IOException taken) {
             listening.close();
-            throw new IOException("operator door " + address + ": " + taken.getMessage()
-                    + "; name a free address in \"operator\" or $ROUTER_OPERATOR", taken);
+            throw new IOException(
+                    "operator door "
+                            + address
+                            + ": "
+                            + taken.getMessage()
+                            + "; name a free address in \"operator\" or $ROUTER_OPERATOR",
+                    taken);
         }
         thread.setDaemon(true);
     }
@@ -110,7 +120,8 @@
                 }
                 tick.run();
                 Instant oldest = clock.get().minus(MOST_WAIT);
-                List.copyOf(callers.entrySet()).stream().filter(one -> one.getValue().came.isBefore(oldest))
+                List.copyOf(callers.entrySet()).stream()
+                        .filter(one -> one.getValue().came.isBefore(oldest))
                         .forEach(one -> drop(one.getKey()));
             } catch (IOException | RuntimeException failed) {
                 if (!closing) {
@@ -123,14 +134,20 @@
     private void accept() throws IOException {
         SocketChannel channel;
         while ((channel = listening.accept()) != null) {
-            if (!((InetSocketAddress) channel.getRemoteAddress()).getAddress().isLoopbackAddress()) {
-                LOG.log(Level.WARNING, "operator door: closed a caller from " + channel.getRemoteAddress()
-                        + "; only this machine is heard");
+            if (!((InetSocketAddress) channel.getRemoteAddress())
+                    .getAddress()
+                    .isLoopbackAddress()) {
+                LOG.log(
+                        Level.WARNING,
+                        "operator door: closed a caller from "
+                                + channel.getRemoteAddress()
+                                + "; only this machine is heard");
                 channel.close();
                 continue;
             }
             if (callers.size() >= MOST_CALLERS) {
-                callers.entrySet().stream().min(Comparator.comparing(one -> one.getValue().came))
+                callers.entrySet().stream()
+                        .min(Comparator.comparing(one -> one.getValue().came))
                         .ifPresent(one -> drop(one.getKey()));
             }
             channel.configureBlocking(false);
@@ -162,8 +179,16 @@
                 drop(channel);
                 return;
             }
-            String answer = end < 0 && !ended ? TOO_LONG : door.answer(new String(caller.line.array(), 0,
-                    end < 0 ? caller.line.position() : end, StandardCharsets.UTF_8).replace("\r", ""));
+            String answer =
+                    end < 0 && !ended
+                            ? TOO_LONG
+                            : door.answer(
+                                    new String(
+                                                    caller.line.array(),
+                                                    0,
+                                                    end < 0 ? caller.line.position() : end,
+                                                    StandardCharsets.UTF_8)
+                                            .replace("\r", ""));
             caller.answer = ByteBuffer.wrap((answer + "\n").getBytes(StandardCharsets.UTF_8));
             key.interestOps(SelectionKey.OP_WRITE);
         }
--- a/src/main/java/cypressglade/control/DrainFile.java
+++ b/src/main/java/cypressglade/control/DrainFile.java
@@ -14,7 +14,7 @@
 
 /** Drains by hand as JSON: on the disk, and as they are shown. */
 final class DrainFile {
-    private DrainFile() { }
+    private DrainFile() {}
 
     static byte[] bytes(List<HandDrain> drains) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -47,10 +47,14 @@
             }
             while (in.nextToken() == JsonToken.START_OBJECT) {
                 Map<String, String> fields = Call.members(in);
-                drains.add(new HandDrain(fields.getOrDefault("node", ""),
-                        Instant.parse(fields.get("started")), fields.getOrDefault("who", ""),
-                        Instant.parse(fields.get("when")),
-                        fields.getOrDefault("why", ""), Boolean.parseBoolean(fields.get("done"))));
+                drains.add(
+                        new HandDrain(
+                                fields.getOrDefault("node", ""),
+                                Instant.parse(fields.get("started")),
+                                fields.getOrDefault("who", ""),
+                                Instant.parse(fields.get("when")),
+                                fields.getOrDefault("why", ""),
+                                Boolean.parseBoolean(fields.get("done"))));
             }
         } catch (DateTimeException | NullPointerException incomplete) {
             throw new IOException("a drain without its times", incomplete);
--- a/src/main/java/cypressglade/core/Asked.java
+++ b/src/main/java/cypressglade/core/Asked.java
@@ -7,18 +7,21 @@
 import java.util.Map;
 
 /**
- * Units that this instance was asked for, of what the schedulers of a fleet share: by volume under a limit,
- * and by shard. Kept from the first {@link #take} on, and by the engine's thread alone.
+ * Units that this instance was asked for, of what the schedulers of a fleet share: by volume under
+ * a limit, and by shard. Kept from the first {@link #take} on, and by the engine's thread alone.
  */
 public final class Asked {
-    /** Volumes and shards beyond that are not reckoned: their requests still go by the part of the rest. */
+    /**
+     * Volumes and shards beyond that are not reckoned: their requests still go by the part of the
+     * rest.
+     */
     private static final int MOST = 4096;
 
     private final Map<Long, Double> volumes = new HashMap<>();
     private final Map<Integer, Double> shards = new HashMap<>();
     private boolean kept;
 
-    Asked() { }
+    Asked() {}
 
     /**
      * Demand since the last look.
@@ -26,10 +29,10 @@
      * @param volumes units by volume
      * @param cold units by cold node
      */
-    public record Demand(Map<Long, Double> volumes, Map<ColdNode, Double> cold) { }
+    public record Demand(Map<Long, Double> volumes, Map<ColdNode, Double> cold) {}
 
     /** A cold node: its id, and its start in microseconds of the epoch. */
-    public record ColdNode(String id, long startedUs) { }
+    public record ColdNode(String id, long startedUs) {}
 
     void add(Request request, boolean limited) {
         if (kept && limited) {
@@ -46,12 +49,19 @@
         }
     }
 
-    /** What was asked since the last call; cold are those nodes to which the module sends by their warmth. */
+    /**
+     * What was asked since the last call; cold are those nodes to which the module sends by their
+     * warmth.
+     */
     Demand take(List<NodeFact> facts) {
         kept = true;
         Map<ColdNode, Double> cold = new HashMap<>();
-        facts.stream().filter(fact -> cold(fact.view())).forEach(fact -> cold.put(node(fact),
-                shards.getOrDefault(fact.view().shard(), 0.0)));
+        facts.stream()
+                .filter(fact -> cold(fact.view()))
+                .forEach(
+                        fact ->
+                                cold.put(
+                                        node(fact), shards.getOrDefault(fact.view().shard(), 0.0)));
         Demand demand = new Demand(Map.copyOf(volumes), cold);
         volumes.clear();
         shards.clear();
