--- a/src/main/java/cypressglade/core/Brain.java
+++ b/src/main/java/cypressglade/core/Brain.java
@@ -11,10 +11,11 @@
 import java.util.stream.Stream;
 
 /**
- * Every decision of cypressglade; the interface is in Scheduler.java. After A. K. Singh, "Performance
- * Isolation in Cloud Storage Systems" (Waterloo, 2013): per node, held requests leave by earliest deadline
- * under a bound on the units out that follows the node's learned speed; what is predicted to miss is refused
- * on arrival. Exceptions are marked where they stand and their conditions are listed in docs/design.md.
+ * Every decision of cypressglade; the interface is in Scheduler.java. After A. K. Singh,
+ * "Performance Isolation in Cloud Storage Systems" (Waterloo, 2013): per node, held requests leave
+ * by earliest deadline under a bound on the units out that follows the node's learned speed; what
+ * is predicted to miss is refused on arrival. Exceptions are marked where they stand and their
+ * conditions are listed in docs/design.md.
  */
 public final class Brain implements Scheduler {
     private static final double US = 1e6; // microseconds in a second
@@ -22,60 +23,88 @@
     // The ordinary path.
     private static final double SMOOTHING = 0.2; // least weight of the newest answer
     private static final double SLOW_SMOOTHING = 0.05; // the same for a node's pace and strain
-    private static final double MEMORY_US = 500_000; // memory of what others' load adds to an answer
+    private static final double MEMORY_US =
+            500_000; // memory of what others' load adds to an answer
     private static final double AVERAGE_SMOOTHING = 0.02; // the same for the average over all nodes
     private static final double FIRST_ANSWERS = 4; // answers that the value at the start counts as
-    private static final long FRESH_US = 150_000; // what was heard of a node within this needs no probe
-    private static final double PRICE_US = 1_500_000_000; // the same by the square of a probe's price
+    private static final long FRESH_US =
+            150_000; // what was heard of a node within this needs no probe
+    private static final double PRICE_US =
+            1_500_000_000; // the same by the square of a probe's price
     private static final long ASK_WAIT_US = 30_000; // longest wait for a probe before a decision
-    private static final double NO_ANSWER_TIMES = 4; // backlog if no probe comes back, in waits for it
+    private static final double NO_ANSWER_TIMES =
+            4; // backlog if no probe comes back, in waits for it
     private static final double PROBE_TRUST = 0.7; // weight of a probe's time in the backlog
-    private static final double SAMPLE_CLIP = 2; // an answer counts as at most so many times what is learned
+    private static final double SAMPLE_CLIP =
+            2; // an answer counts as at most so many times what is learned
     private static final double FORGET_US = 1_000_000; // an unheard node's drift to the average
-    private static final double START_PACE_US = 13_000; // microseconds a unit before anything was heard
-    private static final double OWN_TIMES = 2; // how much a request's own units count against those ahead
+    private static final double START_PACE_US =
+            13_000; // microseconds a unit before anything was heard
+    private static final double OWN_TIMES =
+            2; // how much a request's own units count against those ahead
     private static final double LATENCY_MEANS = 0.3; // latency apart from units, in mean requests
     private static final double SAME_KEY_PART = 0.4; // work of a piece that the node has just taken
     private static final int RECENT_KEYS = 3; // pieces that a node is taken to remember
-    private static final double CONNECTIONS = 28; // all heads' at a node, which holds few; one each at least
-    private static final double AIM_PART = 0.5; // part of the tightest aim that the units out may take
-    private static final double LEAST_OUT = 12; // requests that all heads together may always have out
+    private static final double CONNECTIONS =
+            28; // all heads' at a node, which holds few; one each at least
+    private static final double AIM_PART =
+            0.5; // part of the tightest aim that the units out may take
+    private static final double LEAST_OUT =
+            12; // requests that all heads together may always have out
     private static final double CEILING_MEANS = 16; // most units out at a node, in mean requests
     private static final double GUARD_MEANS = 2; // the same for a node known by hearsay only
     private static final int PUSH_BACKS = 24; // times that a held request may be overtaken
     private static final double HERD_SPREAD = 0.03; // chance in placing, against heads herding
-    private static final double BACKGROUND_AIM = 2; // least aim of a background class, in tightest aims
-    private static final double BACKGROUND_PART = 0.5; // part of its slack in which background may leave
-    private static final long SHIFT_US = 250_000; // background moves back by this, to its class deadline
+    private static final double BACKGROUND_AIM =
+            2; // least aim of a background class, in tightest aims
+    private static final double BACKGROUND_PART =
+            0.5; // part of its slack in which background may leave
+    private static final long SHIFT_US =
+            250_000; // background moves back by this, to its class deadline
 
     // Worth: what earns less gets less of the slack (thesis 4.3 refuses the greedy).
     private static final double SLACK_TOP = 0.9; // part of the aim that the most worthy may take
-    private static final double STRAIN_POWER = 1.0; // how fast the part falls with the worth of a unit
+    private static final double STRAIN_POWER =
+            1.0; // how fast the part falls with the worth of a unit
     private static final double START_STRAIN = 0.3; // when nothing was heard lately
-    private static final double LEAST_AIM_PART = 0.15; // part of the aim that a repeat must have left
+    private static final double LEAST_AIM_PART =
+            0.15; // part of the aim that a repeat must have left
     private static final long SAME_TRY_US = 5_000; // step in which ends of patience are compared
     private static final double RATE_US = 1_000_000; // memory of a volume's rates
-    private static final double LEAST_EXCESS = 0.1; // units a second from which a volume asks for more
+    private static final double LEAST_EXCESS =
+            0.1; // units a second from which a volume asks for more
     private static final long EXCESS_GAP_US = 50_000; // between looks at all volumes
-    private static final long IDLE_US = 60_000_000; // a volume that was not asked for so long is forgotten
-    private static final double LEAST_PART = 0.5; // least part of a volume, in even parts of its heads
-    private static final double PART_POWER = -0.5; // part by number of heads, where no meter tells it
+    private static final long IDLE_US =
+            60_000_000; // a volume that was not asked for so long is forgotten
+    private static final double LEAST_PART =
+            0.5; // least part of a volume, in even parts of its heads
+    private static final double PART_POWER =
+            -0.5; // part by number of heads, where no meter tells it
 
     // Health, by symptom.
-    private static final long SILENT_US = 350_000; // nothing back for this: longer than healthy pauses
+    private static final long SILENT_US =
+            350_000; // nothing back for this: longer than healthy pauses
     private static final double SILENT_TIMES = 3; // and so many times the expected answer
-    private static final double ERROR_TIMES = 20; // how much a node in error is shunned by new objects
-    private static final long TEST_GAP_US = 62_500; // between tests of a silent node by heads in turn
-    private static final double TURN_BY_RANK = 0.618034; // golden section: spreads ranks evenly over turns
-    private static final double TURN_PART = 0.8; // of what all may send: chance gives some windows more
-    private static final double COLD_PART = 0.6; // of what a cold node falls over at, as nodes are seen
+    private static final double ERROR_TIMES =
+            20; // how much a node in error is shunned by new objects
+    private static final long TEST_GAP_US =
+            62_500; // between tests of a silent node by heads in turn
+    private static final double TURN_BY_RANK =
+            0.618034; // golden section: spreads ranks evenly over turns
+    private static final double TURN_PART =
+            0.8; // of what all may send: chance gives some windows more
+    private static final double COLD_PART =
+            0.6; // of what a cold node falls over at, as nodes are seen
     private static final double LEAST_WARMTH = 0.05; // where settings name no cold part
-    private static final int LEAST_TURNED = 64; // refusals to remember before one that is over is dropped
+    private static final int LEAST_TURNED =
+            64; // refusals to remember before one that is over is dropped
     private static final int COLD_ANSWERS = 20; // answers from which that is known
-    private static final double TURN_BY_WINDOW = 0.754878; // and windows, out of step with the ranks
+    private static final double TURN_BY_WINDOW =
+            0.754878; // and windows, out of step with the ranks
     private static final double DEMAND_US = 5_000_000; // memory of what this head is asked for
     private static final long FULL_REST_US = 30_000; // rest after a node turned a request away
-    private static final long TICK_US = 10_000; // how often held requests and silent nodes are looked at
+    private static final long TICK_US =
+            10_000; // how often held requests and silent nodes are looked at
     private static final long LEAST_ADVICE_US = 50_000; // shortest advice to a refused client
     private static final long WATCH_AGAIN_US = 500_000; // before asking again for a failed list
 
@@ -98,7 +127,8 @@
     private final long bornAt;
     private double averagePace = START_PACE_US, averageStrain = START_STRAIN, averageBacklog;
     private double leastWorth, mostWorth, topWorth;
-    private double meanExcess, asked; // units beyond the reserves of a volume, and all that was asked for
+    private double meanExcess,
+            asked; // units beyond the reserves of a volume, and all that was asked for
     private long averageAt, askedAt, excessAt, tightestAim, freshUs, testGapUs;
     private final long[] givenUp = new long[Reason.values().length];
     private boolean ticking;
@@ -152,9 +182,15 @@
             nodes.computeIfAbsent(entry.node(), address -> new Node()).update(entry);
         }
         shards.clear();
-        nodes.values().stream().filter(node -> node.ready).forEach(node -> shards.put(node.shard, node));
+        nodes.values().stream()
+                .filter(node -> node.ready)
+                .forEach(node -> shards.put(node.shard, node));
         nodes.values().stream().filter(node -> !node.ready).forEach(node -> moveHeld(now, node));
-        nodes.values().removeIf(node -> !node.ready && node.empty()); // also one that is down: nobody asks it
+        nodes.values()
+                .removeIf(
+                        node ->
+                                !node.ready
+                                        && node.empty()); // also one that is down: nobody asks it
     }
 
     @Override
@@ -175,8 +211,12 @@
         held.volume.heads = Math.max(1, request.heads());
         held.volume.plan = settings.plans().get(request.plan());
         held.type = settings.classes().get(request.requestClass());
-        held.background = held.type.effect() == Effect.SAFE && !held.type.write() && leastWorth < mostWorth
-                && held.type.worth() <= leastWorth && held.type.aimUs() >= BACKGROUND_AIM * tightestAim;
+        held.background =
+                held.type.effect() == Effect.SAFE
+                        && !held.type.write()
+                        && leastWorth < mostWorth
+                        && held.type.worth() <= leastWorth
+                        && held.type.aimUs() >= BACKGROUND_AIM * tightestAim;
         held.aim = firstTry(now, held) + held.type.aimUs();
         held.due = Math.min(held.aim, held.expiry);
         if (held.type.keepOrder() && request.key() != 0) {
@@ -194,7 +234,8 @@
     public void outcome(long now, Outcome outcome) {
         Held held = open.get(outcome.requestId());
         int attempt = outcome.attempt();
-        Sent sent = held == null || attempt >= held.sent.size() ? null : held.sent.set(attempt, null);
+        Sent sent =
+                held == null || attempt >= held.sent.size() ? null : held.sent.set(attempt, null);
         if (sent == null) {
             return;
         }
@@ -254,9 +295,10 @@
     }
 
     /**
-     * Word of others on a node of which nothing came back to this head lately: it stands in for what is
-     * learned until an answer or a probe confirms it, and opens a small window only. Covers starts; may hurt
-     * where the word is wrong, by one probe. On warmth the colder word holds, whatever is known here.
+     * Word of others on a node of which nothing came back to this head lately: it stands in for
+     * what is learned until an answer or a probe confirms it, and opens a small window only. Covers
+     * starts; may hurt where the word is wrong, by one probe. On warmth the colder word holds,
+     * whatever is known here.
      */
     @Override
     public void hint(long now, Hint hint) {
@@ -265,7 +307,8 @@
             return;
         }
         node.coldFrom = Math.max(node.coldFrom, Math.min(now, hint.startedUs()));
-        if (node.out.isEmpty() && (node.seenAt == Long.MIN_VALUE || now - node.seenAt > FORGET_US)) {
+        if (node.out.isEmpty()
+                && (node.seenAt == Long.MIN_VALUE || now - node.seenAt > FORGET_US)) {
             if (!node.guarded) { // where it is cold, those who know it may have spent this window
                 node.coldSends.add(new double[] {now, node.coldRoom(now)});
             }
@@ -291,12 +334,21 @@
     public Load load(long now) {
         int[] held = new int[settings.classes().size()];
         long[] oldest = new long[held.length];
-        nodes.values().forEach(node -> Stream.concat(node.queue.stream(), node.parked.stream())
-                .filter(one -> one.request.requestClass() < held.length).forEach(one -> {
-                    held[one.request.requestClass()]++;
-                    oldest[one.request.requestClass()] =
-                            Math.max(oldest[one.request.requestClass()], now - one.arrived);
-                }));
+        nodes.values()
+                .forEach(
+                        node ->
+                                Stream.concat(node.queue.stream(), node.parked.stream())
+                                        .filter(one -> one.request.requestClass() < held.length)
+                                        .forEach(
+                                                one -> {
+                                                    held[one.request.requestClass()]++;
+                                                    oldest[one.request.requestClass()] =
+                                                            Math.max(
+                                                                    oldest[
+                                                                            one.request
+                                                                                    .requestClass()],
+                                                                    now - one.arrived);
+                                                }));
         return new Load(held, oldest, givenUp.clone());
     }
 
@@ -310,16 +362,23 @@
         if (now - excessAt >= EXCESS_GAP_US) {
             excessAt = now;
             volumes.values().removeIf(volume -> volume.forgotten(now));
-            meanExcess = volumes.values().stream().filter(volume -> volume.excess > LEAST_EXCESS)
-                    .mapToDouble(Volume::excessByWeight).average().orElse(0);
+            meanExcess =
+                    volumes.values().stream()
+                            .filter(volume -> volume.excess > LEAST_EXCESS)
+                            .mapToDouble(Volume::excessByWeight)
+                            .average()
+                            .orElse(0);
         }
         for (Node node : nodes.values()) {
             if (node.idle()) {
                 continue;
             }
             if (!node.parked.isEmpty() && now - node.parked.get(0).parkedAt >= ASK_WAIT_US) {
-                node.setBacklog(now, Math.max(node.backlog(now),
-                        NO_ANSWER_TIMES * (now - node.parked.get(0).parkedAt)));
+                node.setBacklog(
+                        now,
+                        Math.max(
+                                node.backlog(now),
+                                NO_ANSWER_TIMES * (now - node.parked.get(0).parkedAt)));
                 decideParked(now, node);
             }
             expire(now, node);
@@ -332,7 +391,10 @@
 
     // ---- admission
 
-    /** When the client first asked: a repeat is for the same piece, and its patience ends when it did. */
+    /**
+     * When the client first asked: a repeat is for the same piece, and its patience ends when it
+     * did.
+     */
     private long firstTry(long now, Held held) {
         if (turnedAway.size() > mostTurned) { // not at each request: a storm leaves thousands here
             turnedAway.values().removeIf(before -> before.expiry < now);
@@ -350,17 +412,21 @@
 
     /** Takes a request into a node's queue, or refuses it at once. */
     private void admit(long now, Held held) {
-        Node node = held.request.shard() >= 0 ? shards.get(held.request.shard()) : bestNode(now, held);
+        Node node =
+                held.request.shard() >= 0 ? shards.get(held.request.shard()) : bestNode(now, held);
         if (node != null && node.ready && askFirst(now, node, held)) {
             return;
         }
         // A late try may have a few milliseconds left: held, it would be over before the next look.
-        double wait = Math.max(2 * TICK_US,
-                held.volume.limitWait(now, held.volume.pending + held.request.units()));
+        double wait =
+                Math.max(
+                        2 * TICK_US,
+                        held.volume.limitWait(now, held.volume.pending + held.request.units()));
         if (node == null || !usable(now, node)) {
             giveUp(now, held, 2 * testGapUs, node == null ? Reason.NO_NODE : Reason.SILENT);
         } else if (held.aim < now + LEAST_AIM_PART * held.type.aimUs()) {
-            // Past the aim of the first try a repeat earns little, yet costs as much. Covers every overload
+            // Past the aim of the first try a repeat earns little, yet costs as much. Covers every
+            // overload
             // in which clients ask again; may hurt where late answers are worth much.
             giveUp(now, held, 0, Reason.LATE_REPEAT);
         } else if (node.coldRoom(now) < held.request.units()) {
@@ -375,17 +441,20 @@
     }
 
     /**
-     * Refuses what is predicted to miss its own aim, to take the room of the more worthy, or to push an
-     * accepted request past its own. Its own work counts against its aim alone, as worth is by unit. A long
-     * aim must not let the less worthy take the room that short ones need, so the tightest aim counts more
-     * the less the worth.
+     * Refuses what is predicted to miss its own aim, to take the room of the more worthy, or to
+     * push an accepted request past its own. Its own work counts against its aim alone, as worth is
+     * by unit. A long aim must not let the less worthy take the room that short ones need, so the
+     * tightest aim counts more the less the worth.
      */
     private boolean fitsAim(long now, Node node, Held held) {
         held.work = held.request.units() * (node.takes(held.request.key()) ? SAME_KEY_PART : 1);
         double ahead = node.heldAhead(held);
         double over = finish(now, node, held, ahead) - (held.aim - now);
-        double mean = node.backlog(now) + span(node.outUnits + ahead, settings.meanUnits()) * node.pace(now);
-        if (over > 0 || mean > Math.min(slack(now, node, held.worth) * tightestAim, held.aim - now)
+        double mean =
+                node.backlog(now)
+                        + span(node.outUnits + ahead, settings.meanUnits()) * node.pace(now);
+        if (over > 0
+                || mean > Math.min(slack(now, node, held.worth) * tightestAim, held.aim - now)
                 || displaces(now, node, held)) {
             giveUp(now, held, (long) over, Reason.CROWDED);
             return false;
@@ -394,11 +463,13 @@
     }
 
     /**
-     * A head among many hears a node so seldom that what it knows is old: it asks first, and the request
-     * waits. Covers crowds, pauses and silence that begin between two requests; costs a probe and its way.
+     * A head among many hears a node so seldom that what it knows is old: it asks first, and the
+     * request waits. Covers crowds, pauses and silence that begin between two requests; costs a
+     * probe and its way.
      */
     private boolean askFirst(long now, Node node, Held held) {
-        boolean known = now - node.seenAt < freshUs && node.seenAt != Long.MIN_VALUE && usable(now, node);
+        boolean known =
+                now - node.seenAt < freshUs && node.seenAt != Long.MIN_VALUE && usable(now, node);
         if (!limits.probes() || held.asked || known || now + 2 * ASK_WAIT_US > held.due) {
             return false;
         }
@@ -420,14 +491,17 @@
         waiting.stream().filter(held -> !held.over).forEach(held -> admit(now, held));
     }
 
-    /** Predicted time until the request completes: what is ahead over the speed, plus the latency. */
+    /**
+     * Predicted time until the request completes: what is ahead over the speed, plus the latency.
+     */
     private double finish(long now, Node node, Held held, double heldAhead) {
         return node.backlog(now) + span(node.outUnits + heldAhead, held.work) * node.pace(now);
     }
 
     /**
-     * Units that count for a request's completion: those ahead, its own, and a part for the latency. Its own
-     * count more, as one core serves a request while all cores share the queue and others run beside it.
+     * Units that count for a request's completion: those ahead, its own, and a part for the
+     * latency. Its own count more, as one core serves a request while all cores share the queue and
+     * others run beside it.
      */
     private double span(double ahead, double own) {
         return Math.max(OWN_TIMES * own, ahead + own) + LATENCY_MEANS * settings.meanUnits();
@@ -440,8 +514,11 @@
         for (Held other : node.queue) {
             double alone = now + node.backlog(now) + span(ahead, other.work) * pace;
             ahead += other.work;
-            if (other.due > held.due && other.worth >= held.worth && !other.background
-                    && alone <= other.due && alone + held.work * pace > other.due) {
+            if (other.due > held.due
+                    && other.worth >= held.worth
+                    && !other.background
+                    && alone <= other.due
+                    && alone + held.work * pace > other.due) {
                 return true;
             }
         }
@@ -469,7 +546,10 @@
         return SLACK_TOP * Math.pow(worth, STRAIN_POWER * node.strain(now));
     }
 
-    /** Worth of one unit against the most that any can earn: class, plan, and what is due to the volume. */
+    /**
+     * Worth of one unit against the most that any can earn: class, plan, and what is due to the
+     * volume.
+     */
     private double unitWorth(Held held) {
         Volume volume = held.volume;
         double units = held.request.units();
@@ -481,7 +561,10 @@
         }
         held.reserved = reserved;
         volume.excess += units * (1 - reserved) * US / RATE_US;
-        double worth = (reserved + (1 - reserved) * beyond) * held.type.worth() * volume.plan.worthFactor();
+        double worth =
+                (reserved + (1 - reserved) * beyond)
+                        * held.type.worth()
+                        * volume.plan.worthFactor();
         return worth / topWorth;
     }
 
@@ -489,7 +572,8 @@
 
     private void enqueue(Node node, Held held) {
         int at = node.queue.size();
-        while (at > 0 && node.queue.get(at - 1).due > held.due
+        while (at > 0
+                && node.queue.get(at - 1).due > held.due
                 && node.queue.get(at - 1).pushed < PUSH_BACKS) {
             at--;
             node.queue.get(at).pushed++;
@@ -518,7 +602,8 @@
             } else if (!held.sent.isEmpty() && !mayTryFurther(now, held)) {
                 giveUp(now, held, FULL_REST_US, Reason.BUDGET); // it was there when this was held
             } else if (!held.background || !shift(node, held, i)) {
-                // What a silent node has out is lost or stuck: it keeps out nothing that a probe allows.
+                // What a silent node has out is lost or stuck: it keeps out nothing that a probe
+                // allows.
                 if (!usable(now, node) || !silent(now, node) && !fits(now, node, held)) {
                     return;
                 }
@@ -528,7 +613,10 @@
         }
     }
 
-    /** Best effort: background work steps behind the others that wait, never past its class deadline. */
+    /**
+     * Best effort: background work steps behind the others that wait, never past its class
+     * deadline.
+     */
     private boolean shift(Node node, Held held, int at) {
         long last = Math.min(held.arrived + held.type.deadlineUs(), held.expiry);
         if (held.due >= last || at + 1 >= node.queue.size() || node.queue.get(at + 1).background) {
@@ -544,10 +632,13 @@
         return to != at;
     }
 
-    /** Whether the units out stay in bounds; background leaves only while the node answers quickly. */
+    /**
+     * Whether the units out stay in bounds; background leaves only while the node answers quickly.
+     */
     private boolean fits(long now, Node node, Held held) {
         if (held.background) {
-            double quiet = node.backlog(now) + (node.outUnits + settings.meanUnits()) * node.pace(now);
+            double quiet =
+                    node.backlog(now) + (node.outUnits + settings.meanUnits()) * node.pace(now);
             return quiet <= BACKGROUND_PART * slack(now, node, held.worth) * tightestAim
                     && node.out.size() < mostOut;
         }
@@ -558,9 +649,13 @@
     /** Whether the rules on limits and order let this request go now. */
     private boolean mayGo(long now, Held held) {
         long key = held.request.key();
-        boolean turn = !held.ordered || turns.get(key).peek() == held
-                && (!held.sent.isEmpty() || now >= keyRests.getOrDefault(key, Long.MIN_VALUE));
-        return turn && (!held.sent.isEmpty() || held.volume.limitWait(now, held.request.units()) <= 0);
+        boolean turn =
+                !held.ordered
+                        || turns.get(key).peek() == held
+                                && (!held.sent.isEmpty()
+                                        || now >= keyRests.getOrDefault(key, Long.MIN_VALUE));
+        return turn
+                && (!held.sent.isEmpty() || held.volume.limitWait(now, held.request.units()) <= 0);
     }
 
     private void send(long now, Node node, Held held) {
@@ -570,7 +665,13 @@
         } else {
             further.add(now);
         }
-        Sent sent = new Sent(now, node, held, span(node.outUnits, held.work), finish(now, node, held, 0));
+        Sent sent =
+                new Sent(
+                        now,
+                        node,
+                        held,
+                        span(node.outUnits, held.work),
+                        finish(now, node, held, 0));
         held.sent.add(sent);
         held.outstanding++;
         outCount++;
@@ -580,12 +681,21 @@
         actions.send(held.request.id(), node.address, 0);
     }
 
-    /** Settles a request whose attempt failed: another attempt where the rules allow it, or its answer. */
+    /**
+     * Settles a request whose attempt failed: another attempt where the rules allow it, or its
+     * answer.
+     */
     private void again(long now, Held held, Node node, Status status) {
-        boolean retry = status != Status.TIMEOUT && status != Status.MOOT
-                && held.sent.size() < limits.attempts() && mayTryFurther(now, held);
-        Node next = retry && held.request.shard() < 0 && !held.mayHaveRun ? bestNode(now, held) : node;
-        if (retry && next != null && usable(now, next)
+        boolean retry =
+                status != Status.TIMEOUT
+                        && status != Status.MOOT
+                        && held.sent.size() < limits.attempts()
+                        && mayTryFurther(now, held);
+        Node next =
+                retry && held.request.shard() < 0 && !held.mayHaveRun ? bestNode(now, held) : node;
+        if (retry
+                && next != null
+                && usable(now, next)
                 && now + finish(now, next, held, next.heldAhead(held)) <= held.due) {
             enqueue(next, held);
             dispatch(now, next);
@@ -594,24 +704,36 @@
         }
     }
 
-    /** The class and the budget of further attempts; asked again when a held one leaves, windows move on. */
+    /**
+     * The class and the budget of further attempts; asked again when a held one leaves, windows
+     * move on.
+     */
     private boolean mayTryFurther(long now, Held held) {
-        boolean repeatable = !held.mayHaveRun || held.type.effect() == Effect.SAFE
-                || held.type.effect() == Effect.KEYED && now - held.firstSent < held.type.keyTtlUs() / 2;
+        boolean repeatable =
+                !held.mayHaveRun
+                        || held.type.effect() == Effect.SAFE
+                        || held.type.effect() == Effect.KEYED
+                                && now - held.firstSent < held.type.keyTtlUs() / 2;
         further.removeIf(at -> at < now - limits.budgetWindowUs());
         taken.removeIf(at -> at < now - limits.budgetWindowUs() + settings.tickUs());
-        return repeatable && (!limits.budget()
-                || further.size() + 1 <= limits.freeResends() + limits.furtherRatio() * taken.size());
+        return repeatable
+                && (!limits.budget()
+                        || further.size() + 1
+                                <= limits.freeResends() + limits.furtherRatio() * taken.size());
     }
 
-    /** The final answer, at once: refused where that is allowed, failed where the work may have run. */
+    /**
+     * The final answer, at once: refused where that is allowed, failed where the work may have run.
+     */
     private void giveUp(long now, Held held, long adviceUs, Reason reason) {
         givenUp[reason.ordinal()]++;
         unqueue(held);
         held.over = true;
-        boolean harmless = held.sent.isEmpty() || !held.mayHaveRun && held.outstanding == 0
-                || held.type.effect() == Effect.SAFE
-                || held.type.effect() == Effect.KEYED && held.type.scope() == Scope.ALL;
+        boolean harmless =
+                held.sent.isEmpty()
+                        || !held.mayHaveRun && held.outstanding == 0
+                        || held.type.effect() == Effect.SAFE
+                        || held.type.effect() == Effect.KEYED && held.type.scope() == Scope.ALL;
         if (harmless) {
             long advice = Math.min(Math.max(adviceUs, LEAST_ADVICE_US), limits.maxRetryAfterUs());
             actions.refuse(held.request.id(), limits.retryAfter() ? advice : 0);
@@ -626,7 +748,8 @@
         if (held.over && held.outstanding == 0) {
             open.remove(held.request.id());
             if (held.ordered) {
-                turns.computeIfPresent(held.request.key(),
+                turns.computeIfPresent(
+                        held.request.key(),
                         (key, turn) -> turn.remove(held) && turn.isEmpty() ? null : turn);
             }
         }
@@ -646,24 +769,29 @@
             }
             case ERROR -> heard(now, node, true);
             case TIMEOUT -> {
-                // Or only what came in time would be learned from, and clients of little patience would make
-                // a crowded node look quick. Covers those; a hang is told by silence and teaches no speed.
+                // Or only what came in time would be learned from, and clients of little patience
+                // would make
+                // a crowded node look quick. Covers those; a hang is told by silence and teaches no
+                // speed.
                 if (outcome.latencyUs() > sent.expected && outcome.latencyUs() < SILENT_US) {
                     teach(now, node, sent, outcome.latencyUs());
                 }
             }
             case FULL -> node.restUntil = now + FULL_REST_US;
-            case CONNECT_FAILED, RESET -> { // one reset may end its connection only, a second unanswered not
-                node.down = outcome.status() == Status.CONNECT_FAILED || node.resetAt > node.answeredAt;
+            case CONNECT_FAILED,
+                    RESET -> { // one reset may end its connection only, a second unanswered not
+                node.down =
+                        outcome.status() == Status.CONNECT_FAILED || node.resetAt > node.answeredAt;
                 node.resetAt = now;
             }
-            default -> { }
+            default -> {}
         }
     }
 
     /**
-     * Splits an answer's time into what its units explain (the pace, learned slowly) and the rest, which is
-     * the load of other heads, pauses and put-off work (the backlog, learned fast and by time).
+     * Splits an answer's time into what its units explain (the pace, learned slowly) and the rest,
+     * which is the load of other heads, pauses and put-off work (the backlog, learned fast and by
+     * time).
      */
     private void teach(long now, Node node, Sent sent, long latencyUs) {
         double pace = node.pace(now);
@@ -674,15 +802,20 @@
         node.backlog = Math.max(0, backlog + newest * error);
         double own = sent.span * pace;
         double odd = error > 0 ? Math.min(error, own) : Math.min(0, latencyUs - own);
-        double step = Math.max(SLOW_SMOOTHING, 1.0 / (++node.answers + FIRST_ANSWERS)) * odd / sent.span;
+        double step =
+                Math.max(SLOW_SMOOTHING, 1.0 / (++node.answers + FIRST_ANSWERS)) * odd / sent.span;
         node.pace = Math.max(pace / SAMPLE_CLIP, pace + Math.min(step, (SAMPLE_CLIP - 1) * pace));
         double part = Math.max(AVERAGE_SMOOTHING, 1.0 / (++answers + FIRST_ANSWERS));
         averageBacklog = averageBacklog(now) + part * (node.backlog - averageBacklog(now));
         averageAt = now;
         averagePace += part * (node.pace * node.warmth(now) - averagePace);
-        double strain = Math.min(SAMPLE_CLIP, (double) (now - sent.held.arrived) / sent.held.type.aimUs());
+        double strain =
+                Math.min(SAMPLE_CLIP, (double) (now - sent.held.arrived) / sent.held.type.aimUs());
         double old = node.strain(now);
-        node.strain = old + Math.max(SLOW_SMOOTHING, 1.0 / (node.answers + FIRST_ANSWERS)) * (strain - old);
+        node.strain =
+                old
+                        + Math.max(SLOW_SMOOTHING, 1.0 / (node.answers + FIRST_ANSWERS))
+                                * (strain - old);
         averageStrain += part * (strain - averageStrain);
         node.heardAt = now;
     }
@@ -693,8 +826,9 @@
 
     /**
      * An answer ends a silence. Errors come back fast, so they teach no speed, or a node that fails
-     * everything would look the fastest and draw all new objects; their share counts against it instead.
-     * Covers nodes with a broken disk or a bad release; may hurt where one class alone is in error.
+     * everything would look the fastest and draw all new objects; their share counts against it
+     * instead. Covers nodes with a broken disk or a bad release; may hurt where one class alone is
+     * in error.
      */
     private void heard(long now, Node node, boolean error) {
         node.answeredAt = node.seenAt = now;
@@ -707,13 +841,14 @@
     }
 
     /**
-     * Nothing comes back: connections fail, or units are out and there was no answer for long. The node is
-     * down, hangs, is cut off, or is far slower than it was; more sends would only be lost. May hurt where a
-     * heavy request alone fills the node: a probe brings it back.
+     * Nothing comes back: connections fail, or units are out and there was no answer for long. The
+     * node is down, hangs, is cut off, or is far slower than it was; more sends would only be lost.
+     * May hurt where a heavy request alone fills the node: a probe brings it back.
      */
     private boolean silent(long now, Node node) {
         Sent oldest = node.out.peek();
-        return node.down || oldest != null && overdue(now, oldest, Math.max(oldest.at, node.answeredAt));
+        return node.down
+                || oldest != null && overdue(now, oldest, Math.max(oldest.at, node.answeredAt));
     }
 
     private static boolean overdue(long now, Sent sent, long since) {
@@ -721,9 +856,10 @@
     }
 
     /**
-     * Attempts far over their time while later sends were answered no longer count as out: their answers are
-     * lost, or the node forgot them, and they would fill the bound. Covers lost answers and what a hang
-     * leaves behind; may hurt when a costly request still runs, as one more is then sent beside it.
+     * Attempts far over their time while later sends were answered no longer count as out: their
+     * answers are lost, or the node forgot them, and they would fill the bound. Covers lost answers
+     * and what a hang leaves behind; may hurt when a costly request still runs, as one more is then
+     * sent beside it.
      */
     private void writeOffLost(long now, Node node) {
         for (Sent sent : List.copyOf(node.out)) {
@@ -737,7 +873,8 @@
         if (node.ready && now - node.testedAt >= testGapUs && silent(now, node)) {
             node.testedAt = now;
             node.trustedUntil = limits.probes() ? node.trustedUntil : now + FRESH_US;
-            node.down &= limits.probes(); // else a request tests: one reset must not bar a node for good
+            node.down &=
+                    limits.probes(); // else a request tests: one reset must not bar a node for good
             if (limits.probes()) {
                 actions.probe(node.address);
             }
@@ -754,7 +891,10 @@
         }
     }
 
-    /** Nothing more goes to a node that drains or is gone; what is held goes elsewhere or is answered. */
+    /**
+     * Nothing more goes to a node that drains or is gone; what is held goes elsewhere or is
+     * answered.
+     */
     private void moveHeld(long now, Node node) {
         for (Held held : new ArrayList<>(node.queue)) {
             unqueue(held);
@@ -767,8 +907,9 @@
     }
 
     private void startTicking() {
-        if (!ticking && (heldCount + outCount > 0
-                || nodes.values().stream().anyMatch(node -> node.ready && node.down))) {
+        if (!ticking
+                && (heldCount + outCount > 0
+                        || nodes.values().stream().anyMatch(node -> node.ready && node.down))) {
             ticking = true;
             actions.timer(TICK_US, TICK);
         }
@@ -778,15 +919,22 @@
 
     /** A storage node as this head sees it. */
     private final class Node {
-        private long address, startedUs, testedAt, restUntil, trustedUntil, resetAt = Long.MIN_VALUE;
+        private long address,
+                startedUs,
+                testedAt,
+                restUntil,
+                trustedUntil,
+                resetAt = Long.MIN_VALUE;
         private long coldFrom; // the latest start that others tell of
         private int shard;
         private boolean ready, down, guarded; // guarded: known by hearsay only
         private double pace, backlog, strain, errors, outUnits;
         private int answers;
         private final ArrayDeque<Long> recentKeys = new ArrayDeque<>();
-        private long heardAt = Long.MIN_VALUE, answeredAt = Long.MIN_VALUE; // by anything; by an answer
-        private long seenAt = Long.MIN_VALUE, probedAt = Long.MIN_VALUE; // signs of life; probe that is out
+        private long heardAt = Long.MIN_VALUE,
+                answeredAt = Long.MIN_VALUE; // by anything; by an answer
+        private long seenAt = Long.MIN_VALUE,
+                probedAt = Long.MIN_VALUE; // signs of life; probe that is out
         private final ArrayList<Held> parked = new ArrayList<>();
         private final ArrayDeque<Sent> out = new ArrayDeque<>();
         private final ArrayList<Held> queue = new ArrayList<>();
@@ -815,18 +963,30 @@
 
         /** What was learned of the node drifts to the average of all while it is not heard of. */
         double recall(long now, double learned, double average) {
-            return heardAt == Long.MIN_VALUE ? average
+            return heardAt == Long.MIN_VALUE
+                    ? average
                     : average + (learned - average) * Math.exp(-(now - heardAt) / FORGET_US);
         }
 
-        /** Part of its speed that a node surely has: it rises evenly from the cold part to the whole. */
+        /**
+         * Part of its speed that a node surely has: it rises evenly from the cold part to the
+         * whole.
+         */
         double warmth(long now) {
             long cold = limits.rampUs() - (now - Math.max(startedUs, coldFrom));
-            return startedUs == 0 && coldFrom == 0 || cold <= 0 ? 1 : Math.max(LEAST_WARMTH,
-                    1 - (1 - limits.coldFrom()) * Math.min(1, (double) cold / limits.rampUs()));
+            return startedUs == 0 && coldFrom == 0 || cold <= 0
+                    ? 1
+                    : Math.max(
+                            LEAST_WARMTH,
+                            1
+                                    - (1 - limits.coldFrom())
+                                            * Math.min(1, (double) cold / limits.rampUs()));
         }
 
-        /** Microseconds a unit; of an unheard node what the average of all tells of one as warm as it is. */
+        /**
+         * Microseconds a unit; of an unheard node what the average of all tells of one as warm as
+         * it is.
+         */
         double pace(long now) {
             return recall(now, pace, averagePace / warmth(now));
         }
@@ -838,13 +998,14 @@
         }
 
         /**
-         * Microseconds that others' load adds to an answer. An attempt over its time tells of at least so
-         * much, unless something came back since: then it is lost or heavy.
+         * Microseconds that others' load adds to an answer. An attempt over its time tells of at
+         * least so much, unless something came back since: then it is lost or heavy.
          */
         double backlog(long now) {
             double known = recall(now, backlog, averageBacklog(now));
             Sent oldest = out.peek();
-            return oldest == null ? known
+            return oldest == null
+                    ? known
                     : Math.max(known, now - Math.max(oldest.at + oldest.expected, seenAt));
         }
 
@@ -855,7 +1016,10 @@
             heardAt = now;
         }
 
-        /** Whether the piece is among the last that this head sent or holds here, so that it costs less. */
+        /**
+         * Whether the piece is among the last that this head sent or holds here, so that it costs
+         * less.
+         */
         boolean takes(long key) {
             if (key == 0 || recentKeys.contains(key)) {
                 return key != 0;
@@ -875,15 +1039,30 @@
 
         /** Units that may be out; a background class asks for less. */
         double bound(long now) {
-            double bound = (AIM_PART * tightestAim - backlog(now)) / pace(now) - settings.meanUnits();
+            double bound =
+                    (AIM_PART * tightestAim - backlog(now)) / pace(now) - settings.meanUnits();
             return Math.min(bound, (guarded ? GUARD_MEANS : CEILING_MEANS) * settings.meanUnits());
         }
 
         NodeView view(long now) {
             boolean silent = silent(now, this);
-            return new NodeView(address, shard, ready, guarded, silent, startedUs, pace(now), backlog(now),
-                    strain(now), errors, answers, answeredAt == Long.MIN_VALUE ? -1 : now - answeredAt,
-                    seenAt == Long.MIN_VALUE ? -1 : now - seenAt, outUnits, bound(now), queue.size(),
+            return new NodeView(
+                    address,
+                    shard,
+                    ready,
+                    guarded,
+                    silent,
+                    startedUs,
+                    pace(now),
+                    backlog(now),
+                    strain(now),
+                    errors,
+                    answers,
+                    answeredAt == Long.MIN_VALUE ? -1 : now - answeredAt,
+                    seenAt == Long.MIN_VALUE ? -1 : now - seenAt,
+                    outUnits,
+                    bound(now),
+                    queue.size(),
                     coldRoom(now));
         }
 
@@ -898,11 +1077,12 @@
         }
 
         /**
-         * Units that this head may still send to a cold node within the rule's window. Where an even part of
-         * what all heads may send is less than one request, heads take turns by rank and window: so many at
-         * once that they ask for no more than all may send, by this head's own traffic. One largest request a
-         * turn bounds a head whose volume surges. Covers restarts of heads (turns go by rank) and heads that
-         * die (their turn lapses); may hurt where few heads have all the traffic of the node.
+         * Units that this head may still send to a cold node within the rule's window. Where an
+         * even part of what all heads may send is less than one request, heads take turns by rank
+         * and window: so many at once that they ask for no more than all may send, by this head's
+         * own traffic. One largest request a turn bounds a head whose volume surges. Covers
+         * restarts of heads (turns go by rank) and heads that die (their turn lapses); may hurt
+         * where few heads have all the traffic of the node.
          */
         double coldRoom(long now) {
             coldSends.removeIf(sent -> sent[0] <= now - limits.fallUs());
@@ -912,15 +1092,18 @@
             }
             double all = limits.youngUnits() * warmth / Math.max(LEAST_WARMTH, limits.coldFrom());
             if (Brain.this.answers >= COLD_ANSWERS) {
-                double paced = Math.max(averagePace / warmth, answers < FIRST_ANSWERS ? 0 : pace(now));
+                double paced =
+                        Math.max(averagePace / warmth, answers < FIRST_ANSWERS ? 0 : pace(now));
                 all = Math.max(all, COLD_PART * limits.overloadFactor() * limits.fallUs() / paced);
             }
             double room = all / parts.nodeHeads(now, address, settings.heads());
             if (parts == Parts.EVEN && room < settings.mostUnits()) {
-                double seen = DEMAND_US * (1 - Math.exp(-(now - bornAt + limits.fallUs()) / DEMAND_US));
+                double seen =
+                        DEMAND_US * (1 - Math.exp(-(now - bornAt + limits.fallUs()) / DEMAND_US));
                 double demand = asked / seen * limits.fallUs() * settings.heads() / shards.size();
                 long window = now / limits.fallUs();
-                double turn = (settings.rank() * TURN_BY_RANK + (window + shard) * TURN_BY_WINDOW) % 1;
+                double turn =
+                        (settings.rank() * TURN_BY_RANK + (window + shard) * TURN_BY_WINDOW) % 1;
                 room = turn < TURN_PART * all / demand ? settings.mostUnits() : 0;
             }
             for (double[] sent : coldSends) {
@@ -928,10 +1111,12 @@
             }
             return room;
         }
-
     }
 
-    /** A volume as this head sees it: its part of the reserve and of the limit, and what it asks beyond. */
+    /**
+     * A volume as this head sees it: its part of the reserve and of the limit, and what it asks
+     * beyond.
+     */
     private final class Volume {
         private Plan plan;
         private int heads = 1;
@@ -944,7 +1129,8 @@
             heads = Math.max(1, first.request.heads());
             refilledAt = now;
             reserve = part() * plan.reserveRate();
-            // The store fills from the start of the instance, not from the first request. It starts with its
+            // The store fills from the start of the instance, not from the first request. It starts
+            // with its
             // part of the slack, so that what a restart spends twice stays within that.
             double filled = plan.limitSlack() + (now - bornAt) / US * plan.limitRate();
             limit = Math.min(plan.limitBurst(), filled) / parts.leastHeads(heads);
@@ -956,14 +1142,17 @@
 
         /** This head's part of what the volume gets: by the meter where there is one. */
         double part() {
-            return servedEverywhere <= 0 || heads <= 1 ? Math.pow(heads, PART_POWER)
+            return servedEverywhere <= 0 || heads <= 1
+                    ? Math.pow(heads, PART_POWER)
                     : Math.min(1, Math.max(LEAST_PART / heads, servedHere / servedEverywhere));
         }
 
         void refill(long now) {
             double passed = (now - refilledAt) / US;
             refilledAt = now;
-            double full = part() * plan.reserveRate() + (plan.reserveRate() > 0 ? settings.mostUnits() : 0);
+            double full =
+                    part() * plan.reserveRate()
+                            + (plan.reserveRate() > 0 ? settings.mostUnits() : 0);
             reserve = Math.min(full, reserve + passed * part() * plan.reserveRate());
             double among = limitHeads(now);
             limit = Math.min(plan.limitBurst() / among, limit + passed * plan.limitRate() / among);
@@ -976,9 +1165,13 @@
             return excess / Math.max(plan.weight(), Double.MIN_NORMAL);
         }
 
-        /** Brings it up to now. Idle for long and with a full store of the limit it would come back alike. */
+        /**
+         * Brings it up to now. Idle for long and with a full store of the limit it would come back
+         * alike.
+         */
         boolean forgotten(long now) {
-            return limitWait(now, plan.limitBurst() / limitHeads(now)) <= 0 && pending <= 0
+            return limitWait(now, plan.limitBurst() / limitHeads(now)) <= 0
+                    && pending <= 0
                     && now - askedAt > IDLE_US;
         }
 
@@ -991,7 +1184,9 @@
         /** How long until the store of the limit holds so many units. */
         double limitWait(long now, double units) {
             refill(now);
-            return plan.limitRate() <= 0 ? 0 : (units - limit) * limitHeads(now) / plan.limitRate() * US;
+            return plan.limitRate() <= 0
+                    ? 0
+                    : (units - limit) * limitHeads(now) / plan.limitRate() * US;
         }
     }
 
@@ -1020,10 +1215,12 @@
         /** Tells tries of one client apart from all others; steps of the end of patience apart. */
         long print(int step) {
             long what = (request.volume() * 31 + request.key()) * 31 + request.requestClass();
-            return (what * 31 + Float.floatToIntBits(request.units())) * 31 + expiry / SAME_TRY_US + step;
+            return (what * 31 + Float.floatToIntBits(request.units())) * 31
+                    + expiry / SAME_TRY_US
+                    + step;
         }
     }
 
     /** One attempt: when and where it went, the units that count for it, and its predicted time. */
-    private record Sent(long at, Node node, Held held, double span, double expected) { }
+    private record Sent(long at, Node node, Held held, double span, double expected) {}
 }
--- a/src/main/java/cypressglade/core/Caller.java
+++ b/src/main/java/cypressglade/core/Caller.java
@@ -5,14 +5,17 @@
 /** Who asked: takes exactly one final answer. Each front implements it for its wire. */
 public interface Caller {
     /**
-     * Whether who asked is still there, by what has come on the wire up to now. Asked on the I/O thread just
-     * before an attempt begins, since the end of a client may have come without being heard of yet.
+     * Whether who asked is still there, by what has come on the wire up to now. Asked on the I/O
+     * thread just before an attempt begins, since the end of a client may have come without being
+     * heard of yet.
      */
     default boolean present() {
         return true;
     }
 
-    /** The id that the client gave its request; {@link RequestLog#NO_ID} where its wire has none. */
+    /**
+     * The id that the client gave its request; {@link RequestLog#NO_ID} where its wire has none.
+     */
     default String id() {
         return RequestLog.NO_ID;
     }
--- a/src/main/java/cypressglade/core/Engine.java
+++ b/src/main/java/cypressglade/core/Engine.java
@@ -22,8 +22,8 @@
 import java.util.function.LongFunction;
 
 /**
- * Runs the decision module on one thread, which owns it, its timers and the table of open requests. All
- * others post events; what the module orders goes to the request's own task. Decides nothing.
+ * Runs the decision module on one thread, which owns it, its timers and the table of open requests.
+ * All others post events; what the module orders goes to the request's own task. Decides nothing.
  */
 public final class Engine implements AutoCloseable {
     private static final float[] NO_LOAD = {};
@@ -31,8 +31,8 @@
     private static final System.Logger LOG = System.getLogger(Engine.class.getName());
 
     private final Mailbox<Runnable> events = new Mailbox<>();
-    private final PriorityQueue<Timer> timers = new PriorityQueue<>(
-            Comparator.comparing(Timer::due).thenComparing(Timer::number));
+    private final PriorityQueue<Timer> timers =
+            new PriorityQueue<>(Comparator.comparing(Timer::due).thenComparing(Timer::number));
     private final Map<Long, RequestLife<?>> open = new HashMap<>();
     private final NodeDirectory directory;
     private final Counters counters;
@@ -47,8 +47,13 @@
     private final Asked asked = new Asked();
     private final RequestLog log = new RequestLog();
     private Optional<Granted> granted = Optional.empty();
-    /** Processes that serve as this instance at once: two while an upgrade hands over, one otherwise. */
+
+    /**
+     * Processes that serve as this instance at once: two while an upgrade hands over, one
+     * otherwise.
+     */
     private int beside = 1;
+
     private final Thread thread = new Thread(this::run, "engine");
     private Consumer<Probe> prober = probe -> probe.ended(Ending.of(Status.CONNECT_FAILED));
     private long lastId;
@@ -64,10 +69,15 @@
     }
 
     /** This instance's parts of what a fleet shares, until a time; of cold nodes by their run. */
-    public record Granted(Map<Long, Double> volumes, Map<Asked.ColdNode, Double> cold, double rest,
-            double coldRest, double least, Instant until) { }
+    public record Granted(
+            Map<Long, Double> volumes,
+            Map<Asked.ColdNode, Double> cold,
+            double rest,
+            double coldRest,
+            double least,
+            Instant until) {}
 
-    private record Timer(Instant due, long number, long token) { }
+    private record Timer(Instant due, long number, long token) {}
 
     /** A probe that the module ordered; its end is told once. */
     private final class Probe {
@@ -80,7 +90,10 @@
 
         private void ended(Ending ending) {
             long latency = Micros.of(Duration.between(sent, Time.now()));
-            post(() -> scheduler.probed(now(), node, ending.status(), latency, ending.told().load()));
+            post(
+                    () ->
+                            scheduler.probed(
+                                    now(), node, ending.status(), latency, ending.told().load()));
         }
     }
 
@@ -89,7 +102,8 @@
     }
 
     /** The same, with what is done about storms of second tries; off without. */
-    public Engine(Settings settings, NodeDirectory directory, Counters counters, Optional<Terms> storms) {
+    public Engine(
+            Settings settings, NodeDirectory directory, Counters counters, Optional<Terms> storms) {
         this.directory = directory;
         this.counters = counters;
         this.settings = settings;
@@ -113,13 +127,14 @@
     }
 
     /**
-     * Takes the writes that were in doubt in the former life, or nothing where those are not known; to be
-     * called before the doors open.
+     * Takes the writes that were in doubt in the former life, or nothing where those are not known;
+     * to be called before the doors open.
      *
      * @throws IllegalArgumentException where these are no such bytes
      */
     public void doubts(Optional<byte[]> former) {
-        gate.ifPresent(kept -> kept.doubts(former, Time.now())); // before the thread starts, which owns it
+        gate.ifPresent(
+                kept -> kept.doubts(former, Time.now())); // before the thread starts, which owns it
     }
 
     /** Writes in doubt, for the next life; handed over on the engine's thread. */
@@ -129,33 +144,37 @@
 
     /** Takes new settings; what is open goes on under what it was taken with. */
     public void use(Settings next) {
-        post(() -> {
-            settings = next;
-            gate.ifPresent(kept -> kept.use(next));
-            scheduler.use(inForce());
-        });
+        post(
+                () -> {
+                    settings = next;
+                    gate.ifPresent(kept -> kept.use(next));
+                    scheduler.use(inForce());
+                });
     }
 
     /** This instance is one of so many, which shares out what all together may send. */
     public void share(int rank, int heads) {
-        post(() -> {
-            share = new Share(rank, heads);
-            scheduler.use(inForce());
-        });
+        post(
+                () -> {
+                    share = new Share(rank, heads);
+                    scheduler.use(inForce());
+                });
     }
 
     /**
-     * So many processes serve as this instance at once, as while an upgrade hands over: each takes its part
-     * of the instance's limits, on volumes and on cold nodes, so that together they keep them.
+     * So many processes serve as this instance at once, as while an upgrade hands over: each takes
+     * its part of the instance's limits, on volumes and on cold nodes, so that together they keep
+     * them.
      */
     public void beside(int processes) {
-        post(() -> {
-            if (beside != Math.max(1, processes)) {
-                beside = Math.max(1, processes);
-                scheduler.use(inForce());
-                grant();
-            }
-        });
+        post(
+                () -> {
+                    if (beside != Math.max(1, processes)) {
+                        beside = Math.max(1, processes);
+                        scheduler.use(inForce());
+                        grant();
+                    }
+                });
     }
 
     /** What was asked of this instance since the last call, handed over on the engine's thread. */
@@ -165,21 +184,37 @@
 
     /** Takes the parts that hold from now on, in place of even ones. */
     public void grant(Granted next) {
-        post(() -> {
-            granted = Optional.of(next);
-            grant();
-        });
+        post(
+                () -> {
+                    granted = Optional.of(next);
+                    grant();
+                });
     }
 
     private void grant() {
-        granted.ifPresent(held -> {
-            Map<Long, Double> cold = new HashMap<>();
-            directory.facts(scheduler.views(now())).stream().filter(fact -> Asked.cold(fact.view()))
-                    .forEach(fact -> cold.put(fact.view().node(),
-                            held.cold().getOrDefault(Asked.node(fact), held.coldRest())));
-            scheduler.parts(now(), new Scheduler.Parts(held.volumes(), cold, held.rest(), held.least(),
-                    Micros.of(held.until())).among(beside));
-        });
+        granted.ifPresent(
+                held -> {
+                    Map<Long, Double> cold = new HashMap<>();
+                    directory.facts(scheduler.views(now())).stream()
+                            .filter(fact -> Asked.cold(fact.view()))
+                            .forEach(
+                                    fact ->
+                                            cold.put(
+                                                    fact.view().node(),
+                                                    held.cold()
+                                                            .getOrDefault(
+                                                                    Asked.node(fact),
+                                                                    held.coldRest())));
+                    scheduler.parts(
+                            now(),
+                            new Scheduler.Parts(
+                                            held.volumes(),
+                                            cold,
+                                            held.rest(),
+                                            held.least(),
+                                            Micros.of(held.until()))
+                                    .among(beside));
+                });
     }
 
     /** How long what was sent to a cold node counts, by the settings at the start. */
@@ -188,11 +223,15 @@
     }
 
     private Settings inForce() {
-        Settings shared = saving ? Gate.budget(share.of(settings), storms.orElseThrow()) : share.of(settings);
+        Settings shared =
+                saving ? Gate.budget(share.of(settings), storms.orElseThrow()) : share.of(settings);
         return beside == 1 ? shared : shared.among(shared.rank(), shared.heads() * beside);
     }
 
-    /** What is known of the nodes; handed over on the engine's thread, at a cost of one pass over them. */
+    /**
+     * What is known of the nodes; handed over on the engine's thread, at a cost of one pass over
+     * them.
+     */
     public void views(Consumer<List<NodeFact>> seen) {
         post(() -> seen.accept(directory.facts(scheduler.views(now()))));
     }
@@ -202,7 +241,10 @@
         post(() -> seen.accept(directory.all(scheduler.views(now())), scheduler.load(now())));
     }
 
-    /** Hands on what others know of a node, by its id; of one that is not in the list nothing is kept. */
+    /**
+     * Hands on what others know of a node, by its id; of one that is not in the list nothing is
+     * kept.
+     */
     public void hint(String id, LongFunction<Hint> hint) {
         post(() -> directory.number(id).ifPresent(node -> scheduler.hint(now(), hint.apply(node))));
     }
@@ -210,25 +252,29 @@
     /** Takes in what discovery told; it counts for the links at once. */
     public void told(NodeList list) {
         var entries = directory.update(list);
-        post(() -> {
-            scheduler.nodes(now(), NodeDirectory.kind(list), entries);
-            grant(); // a node that has come back is another cold one
-            counters.add(Counters.Name.LISTS); // so that who waits for it finds the module knowing
-        });
+        post(
+                () -> {
+                    scheduler.nodes(now(), NodeDirectory.kind(list), entries);
+                    grant(); // a node that has come back is another cold one
+                    counters.add(
+                            Counters.Name
+                                    .LISTS); // so that who waits for it finds the module knowing
+                });
     }
 
     void taken(RequestLife<?> life, IoRequest request) {
-        post(() -> {
-            if (gate.isPresent() && gate.get().stops(life, request, Time.now())) {
-                save();
-                return;
-            }
-            life.id = ++lastId;
-            open.put(life.id, life);
-            Scheduler.Request taken = request.toModule(life.id, beside);
-            asked.add(taken, limited(taken));
-            scheduler.request(now(), taken);
-        });
+        post(
+                () -> {
+                    if (gate.isPresent() && gate.get().stops(life, request, Time.now())) {
+                        save();
+                        return;
+                    }
+                    life.id = ++lastId;
+                    open.put(life.id, life);
+                    Scheduler.Request taken = request.toModule(life.id, beside);
+                    asked.add(taken, limited(taken));
+                    scheduler.request(now(), taken);
+                });
     }
 
     /** Follows the weather with the budget of further attempts. */
@@ -246,50 +292,79 @@
     }
 
     /**
-     * How the given attempt ended, and what its answer told; {@code over} where the request is finished with
-     * it.
+     * How the given attempt ended, and what its answer told; {@code over} where the request is
+     * finished with it.
      */
-    void ended(RequestLife<?> life, int attempt, long node, Ending ending, Duration latency, boolean over) {
+    void ended(
+            RequestLife<?> life,
+            int attempt,
+            long node,
+            Ending ending,
+            Duration latency,
+            boolean over) {
         Status status = ending.status();
         Told told = ending.told();
-        post(() -> {
-            life.ended++;
-            life.mayHaveRun |= status.mayHaveRun;
-            if (over) {
-                open.remove(life.id);
-                if (status == Status.OK) {
-                    gate.ifPresent(kept -> kept.served(life, Time.now()));
-                } else {
-                    gate.ifPresent(kept -> kept.neverRan(life));
-                }
-            }
-            scheduler.outcome(now(), new Outcome(life.id, attempt, node, status, Micros.of(latency), over,
-                    told.used(), told.byOthers(), told.load()));
-        });
+        post(
+                () -> {
+                    life.ended++;
+                    life.mayHaveRun |= status.mayHaveRun;
+                    if (over) {
+                        open.remove(life.id);
+                        if (status == Status.OK) {
+                            gate.ifPresent(kept -> kept.served(life, Time.now()));
+                        } else {
+                            gate.ifPresent(kept -> kept.neverRan(life));
+                        }
+                    }
+                    scheduler.outcome(
+                            now(),
+                            new Outcome(
+                                    life.id,
+                                    attempt,
+                                    node,
+                                    status,
+                                    Micros.of(latency),
+                                    over,
+                                    told.used(),
+                                    told.byOthers(),
+                                    told.load()));
+                });
     }
 
     /**
-     * The client of a request has gone; its task says so too, but may come to it only after the client's next
-     * try is here. What may have run by then is in doubt from now on.
+     * The client of a request has gone; its task says so too, but may come to it only after the
+     * client's next try is here. What may have run by then is in doubt from now on.
      */
     void left(RequestLife<?> life) {
-        gate.ifPresent(kept -> post(() -> kept.givenUp(life, life.ordered > life.ended, Time.now())));
+        gate.ifPresent(
+                kept -> post(() -> kept.givenUp(life, life.ordered > life.ended, Time.now())));
     }
 
     /**
-     * Nothing is owed any more. Where no attempt is out, one may still have been ordered that its task will
-     * not make: it never ran, and the module must not wait for it.
+     * Nothing is owed any more. Where no attempt is out, one may still have been ordered that its
+     * task will not make: it never ran, and the module must not wait for it.
      */
     void withdrawn(RequestLife<?> life, boolean attemptOut) {
-        post(() -> {
-            open.remove(life.id);
-            gate.ifPresent(kept -> kept.givenUp(life, attemptOut, Time.now()));
-            scheduler.withdrawn(now(), life.id);
-            if (!attemptOut && life.ordered > life.ended) {
-                scheduler.outcome(now(), new Outcome(life.id, life.ordered - 1, life.node, Status.MOOT, 0,
-                        true, 0, 0, NO_LOAD));
-            }
-        });
+        post(
+                () -> {
+                    open.remove(life.id);
+                    gate.ifPresent(kept -> kept.givenUp(life, attemptOut, Time.now()));
+                    scheduler.withdrawn(now(), life.id);
+                    if (!attemptOut && life.ordered > life.ended) {
+                        scheduler.outcome(
+                                now(),
+                                new Outcome(
+                                        life.id,
+                                        life.ordered - 1,
+                                        life.node,
+                                        Status.MOOT,
+                                        0,
+                                        true,
+                                        0,
+                                        0,
+                                        NO_LOAD));
+                    }
+                });
     }
 
     private static long now() {
@@ -307,7 +382,8 @@
                 Duration wait = first == null ? Mailbox.LONGEST : Time.until(first.due());
                 Duration look = gate.isEmpty() ? Mailbox.LONGEST : Time.until(gateLook);
                 Optional<Runnable> event = events.poll(look.compareTo(wait) < 0 ? look : wait);
-                if (event.isPresent() && !closing) { // it may win against the interrupt that ends the wait
+                if (event.isPresent()
+                        && !closing) { // it may win against the interrupt that ends the wait
                     event.get().run();
                 }
                 while (!timers.isEmpty() && Time.until(timers.peek().due()).isZero()) {
@@ -321,7 +397,8 @@
             } catch (InterruptedException end) {
                 return;
             } catch (RuntimeException fault) {
-                // One faulty event must not take the others' answers: the task of its request still answers
+                // One faulty event must not take the others' answers: the task of its request still
+                // answers
                 // by the deadline.
                 counters.add(Counters.Name.MODULE_FAULTS);
                 LOG.log(System.Logger.Level.ERROR, "decision module", fault);
@@ -350,8 +427,12 @@
         public void refuse(long requestId, long retryAfterUs) {
             RequestLife<?> life = open.get(requestId);
             Duration advice = Micros.span(retryAfterUs);
-            finish(requestId, new RequestLife.Refuse(life == null || gate.isEmpty() ? advice
-                    : gate.get().refused(life, advice, Time.now())));
+            finish(
+                    requestId,
+                    new RequestLife.Refuse(
+                            life == null || gate.isEmpty()
+                                    ? advice
+                                    : gate.get().refused(life, advice, Time.now())));
         }
 
         @Override
--- a/src/main/java/cypressglade/core/Gate.java
+++ b/src/main/java/cypressglade/core/Gate.java
@@ -20,14 +20,15 @@
 import java.util.SplittableRandom;
 
 /**
- * What the engine asks of {@link Storms}: before the module is asked about a try, when it refuses one, and
- * when a write is given up that may have run. Puts requests into the terms of that package; decides nothing.
- * The engine's thread owns it.
+ * What the engine asks of {@link Storms}: before the module is asked about a try, when it refuses
+ * one, and when a write is given up that may have run. Puts requests into the terms of that
+ * package; decides nothing. The engine's thread owns it.
  */
 final class Gate implements Storms.Out {
     private static final System.Logger LOG = System.getLogger(Gate.class.getName());
     private static final double US = 1e6;
-    private static final double FREE_RESENDS = 5; // in a window, beside the share: a calm place needs a few
+    private static final double FREE_RESENDS =
+            5; // in a window, beside the share: a calm place needs a few
     private static final Duration BUDGET_WINDOW = Duration.ofSeconds(1);
 
     private final Counters counters;
@@ -45,8 +46,10 @@
     /** What was decided stands: a ledger is no setting. */
     void use(Settings next) {
         settings = next;
-        storms.longest(next.limits().retryAfter() ? Micros.span(next.limits().maxRetryAfterUs())
-                : Duration.ZERO);
+        storms.longest(
+                next.limits().retryAfter()
+                        ? Micros.span(next.limits().maxRetryAfterUs())
+                        : Duration.ZERO);
     }
 
     /** Whether further attempts of our own are to be kept within what {@link #budget} allows. */
@@ -82,7 +85,10 @@
         return storms.refused(life.asTry, advice, now);
     }
 
-    /** It is over for its client without an answer that says it ran; {@code out} where an attempt is. */
+    /**
+     * It is over for its client without an answer that says it ran; {@code out} where an attempt
+     * is.
+     */
     void givenUp(RequestLife<?> life, boolean out, Instant now) {
         if (life.asTry != null && (out || life.mayHaveRun)) {
             storms.doubts().add(life.asTry, life.firstSent, now);
@@ -106,33 +112,50 @@
         former.ifPresentOrElse(storms.doubts()::restore, () -> storms.doubts().blind(now));
     }
 
-    /** A request as one try of its client; of a class or plan that the settings lack nothing is known. */
+    /**
+     * A request as one try of its client; of a class or plan that the settings lack nothing is
+     * known.
+     */
     Try of(IoRequest request) {
-        boolean known = request.requestClass() < settings.classes().size()
-                && request.plan() < settings.plans().size();
+        boolean known =
+                request.requestClass() < settings.classes().size()
+                        && request.plan() < settings.plans().size();
         Plan plan = known ? settings.plans().get(request.plan()) : null;
         RequestClass type = known ? settings.classes().get(request.requestClass()) : null;
-        return new Try(request.shard(), request.volume(), plan == null ? 1 : Math.max(plan.weight(), 0.01),
-                request.key(), request.requestClass(), request.units(), request.repeat(),
-                effect(type, request), request.token(),
-                type == null ? Duration.ZERO : Micros.span(type.keyTtlUs()), request.expiry());
+        return new Try(
+                request.shard(),
+                request.volume(),
+                plan == null ? 1 : Math.max(plan.weight(), 0.01),
+                request.key(),
+                request.requestClass(),
+                request.units(),
+                request.repeat(),
+                effect(type, request),
+                request.token(),
+                type == null ? Duration.ZERO : Micros.span(type.keyTtlUs()),
+                request.expiry());
     }
 
     private static Try.Effect effect(RequestClass type, IoRequest request) {
         if (type == null || type.effect() == Scheduler.Effect.SAFE) {
             return Try.Effect.NONE;
         }
-        return type.effect() == Scheduler.Effect.KEYED && request.token() != 0 ? Try.Effect.DROPPED
+        return type.effect() == Scheduler.Effect.KEYED && request.token() != 0
+                ? Try.Effect.DROPPED
                 : Try.Effect.TWICE;
     }
 
-    /** Takes what the module knows of the nodes, of which this instance may promise its part only. */
+    /**
+     * Takes what the module knows of the nodes, of which this instance may promise its part only.
+     */
     void look(List<NodeView> views, Instant now) {
         Map<Integer, Speed> speeds = new HashMap<>();
         for (NodeView view : views) {
             if (view.ready() && !view.silent()) {
-                double bears = view.coldRoom() == Double.MAX_VALUE ? Double.POSITIVE_INFINITY
-                        : view.coldRoom() / Math.max(coldSpan.toNanos() / 1e9, 1e-3);
+                double bears =
+                        view.coldRoom() == Double.MAX_VALUE
+                                ? Double.POSITIVE_INFINITY
+                                : view.coldRoom() / Math.max(coldSpan.toNanos() / 1e9, 1e-3);
                 speeds.put(view.shard(), new Speed(US / view.paceUs() / settings.heads(), bears));
             }
         }
--- a/src/main/java/cypressglade/core/Mailbox.java
+++ b/src/main/java/cypressglade/core/Mailbox.java
@@ -6,9 +6,10 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * What others hand to one thread, in order. Guards against a wait that spins: one whose time runs out while
- * another thread is half way through waking it goes round in the JDK's conditions until that other thread
- * goes on, which it cannot where one thread runs at a time. Here nobody waits for another's next step.
+ * What others hand to one thread, in order. Guards against a wait that spins: one whose time runs
+ * out while another thread is half way through waking it goes round in the JDK's conditions until
+ * that other thread goes on, which it cannot where one thread runs at a time. Here nobody waits for
+ * another's next step.
  */
 final class Mailbox<T> {
     /** For who has no time of its own to look again. */
@@ -20,14 +21,17 @@
     /** Adds an item; any thread may, and none is held up. */
     void add(T item) {
         waiting.add(item);
-        Thread asleep = taker; // set before the taker looks once more, so that one of the two sees the other
+        Thread asleep =
+                taker; // set before the taker looks once more, so that one of the two sees the
+        // other
         if (asleep != null) {
             LockSupport.unpark(asleep);
         }
     }
 
     /**
-     * The next item, waited for no longer than {@code most}; nothing where none came. One thread alone takes.
+     * The next item, waited for no longer than {@code most}; nothing where none came. One thread
+     * alone takes.
      *
      * @throws InterruptedException if the thread is interrupted while it waits
      */
--- a/src/main/java/cypressglade/core/Micros.java
+++ b/src/main/java/cypressglade/core/Micros.java
@@ -6,7 +6,7 @@
 
 /** The one place where times become the module's microsecond numbers and back. */
 public final class Micros {
-    private Micros() { }
+    private Micros() {}
 
     public static long of(Instant time) {
         return ChronoUnit.MICROS.between(Instant.EPOCH, time);
--- a/src/main/java/cypressglade/core/NodeDirectory.java
+++ b/src/main/java/cypressglade/core/NodeDirectory.java
@@ -17,8 +17,8 @@
 import java.util.stream.Collectors;
 
 /**
- * What was told of the nodes last. Ids are stable and addresses are not, so the module knows a node by a
- * number given to its id here. The links ask here before the first byte of an attempt.
+ * What was told of the nodes last. Ids are stable and addresses are not, so the module knows a node
+ * by a number given to its id here. The links ask here before the first byte of an attempt.
  */
 public final class NodeDirectory {
     /**
@@ -27,8 +27,13 @@
      * @param started since when its process runs, as discovery told it: by the wall clock
      * @param runsSince the same on the clock of {@link Time}
      */
-    public record Known(String id, InetSocketAddress address, int cell, State state, Instant started,
-            Instant runsSince) { }
+    public record Known(
+            String id,
+            InetSocketAddress address,
+            int cell,
+            State state,
+            Instant started,
+            Instant runsSince) {}
 
     private final Map<String, Long> numbers = new HashMap<>();
     private final Map<Long, Known> nodes = new HashMap<>();
@@ -47,16 +52,31 @@
             long number = numbers.computeIfAbsent(entry.id(), id -> ++lastNumber);
             named.add(number);
             Instant runsSince = starts.onOurClock(entry.id(), entry.started(), now, wall);
-            nodes.put(number, new Known(entry.id(), entry.address(), entry.cell(), entry.state(),
-                    entry.started(), runsSince));
-            entries.add(new NodeEntry(number, entry.zone(), entry.state(), entry.cell(), entry.weight(),
-                    Micros.of(runsSince), entry.kind()));
+            nodes.put(
+                    number,
+                    new Known(
+                            entry.id(),
+                            entry.address(),
+                            entry.cell(),
+                            entry.state(),
+                            entry.started(),
+                            runsSince));
+            entries.add(
+                    new NodeEntry(
+                            number,
+                            entry.zone(),
+                            entry.state(),
+                            entry.cell(),
+                            entry.weight(),
+                            Micros.of(runsSince),
+                            entry.kind()));
         }
         if (list.full()) {
             nodes.keySet().retainAll(named);
         }
         nodes.values().removeIf(node -> node.state() == State.GONE);
-        numbers.values().retainAll(nodes.keySet()); // replaced nodes come with new ids, all day long
+        numbers.values()
+                .retainAll(nodes.keySet()); // replaced nodes come with new ids, all day long
         starts.retain(numbers.keySet());
         return entries;
     }
@@ -71,21 +91,29 @@
         return number == null ? OptionalLong.empty() : OptionalLong.of(number);
     }
 
-    /** The module's views by the ids of their nodes; one that left the list meanwhile is left out. */
+    /**
+     * The module's views by the ids of their nodes; one that left the list meanwhile is left out.
+     */
     synchronized List<NodeFact> facts(List<NodeView> views) {
-        return views.stream().filter(view -> nodes.containsKey(view.node()))
-                .map(view -> new NodeFact(nodes.get(view.node()), view)).toList();
+        return views.stream()
+                .filter(view -> nodes.containsKey(view.node()))
+                .map(view -> new NodeFact(nodes.get(view.node()), view))
+                .toList();
     }
 
-    /** The same, and after them those of the list that the module keeps nothing of, such as drained ones. */
+    /**
+     * The same, and after them those of the list that the module keeps nothing of, such as drained
+     * ones.
+     */
     synchronized List<NodeFact> all(List<NodeView> views) {
         List<NodeFact> all = new ArrayList<>(facts(views));
         Set<Long> seen = views.stream().map(NodeView::node).collect(Collectors.toSet());
-        nodes.forEach((number, known) -> {
-            if (!seen.contains(number)) {
-                all.add(new NodeFact(known, NodeView.unknown(number, known.cell())));
-            }
-        });
+        nodes.forEach(
+                (number, known) -> {
+                    if (!seen.contains(number)) {
+                        all.add(new NodeFact(known, NodeView.unknown(number, known.cell())));
+                    }
+                });
         return all;
     }
 
@@ -105,8 +133,11 @@
 
     /** Whether a shard can take no work because what holds it drains. */
     public synchronized boolean draining(int shard) {
-        Set<State> states = nodes.values().stream().filter(node -> node.cell() == shard).map(Known::state)
-                .collect(Collectors.toSet());
+        Set<State> states =
+                nodes.values().stream()
+                        .filter(node -> node.cell() == shard)
+                        .map(Known::state)
+                        .collect(Collectors.toSet());
         return states.contains(State.DRAINING) && !states.contains(State.READY);
     }
 }
--- a/src/main/java/cypressglade/core/NodeLink.java
+++ b/src/main/java/cypressglade/core/NodeLink.java
@@ -9,8 +9,9 @@
 /** A front's way to the storage nodes; none of its methods blocks. */
 public interface NodeLink<W> {
     /**
-     * Starts one attempt. Its end comes exactly once, at {@code until} at the latest; by then the connection
-     * no longer carries it. It begins at the node only if it is {@code wanted} just before its first byte.
+     * Starts one attempt. Its end comes exactly once, at {@code until} at the latest; by then the
+     * connection no longer carries it. It begins at the node only if it is {@code wanted} just
+     * before its first byte.
      */
     Attempt send(long node, W work, Instant until, BooleanSupplier wanted, Consumer<Ending> ended);
 
@@ -23,8 +24,9 @@
     }
 
     /**
-     * How an attempt or a probe ended; the answer is there only where it was served. {@code took} is how long
-     * the node took, as far as the link can tell it from this program's own lateness; empty where it cannot.
+     * How an attempt or a probe ended; the answer is there only where it was served. {@code took}
+     * is how long the node took, as far as the link can tell it from this program's own lateness;
+     * empty where it cannot.
      */
     record Ending(Scheduler.Status status, byte[] answer, Told told, Optional<Duration> took) {
         private static final byte[] NONE = {};
@@ -39,18 +41,20 @@
         }
 
         /** An answer that was read whole; its body counts only where it was served. */
-        public static Ending read(Scheduler.Status status, byte[] answer, Told told, Duration took) {
-            return new Ending(status, status == Scheduler.Status.OK ? answer : NONE, told,
-                    Optional.of(took));
+        public static Ending read(
+                Scheduler.Status status, byte[] answer, Told told, Duration took) {
+            return new Ending(
+                    status, status == Scheduler.Status.OK ? answer : NONE, told, Optional.of(took));
         }
     }
 
     /**
-     * What a node's answer told beside itself, in the simulator's figures: {@code used}, the volume's use
-     * through all schedulers in the last finished period of the meter, in percent of its plan's rate, plus 1
-     * (0 where not told); {@code byOthers}, units that the shard served for the volume through other
-     * schedulers since its last answer to this one; {@code load}, the node's report by {@link
-     * Scheduler.Settings#loadNames} (empty where none, NaN where a name was not told).
+     * What a node's answer told beside itself, in the simulator's figures: {@code used}, the
+     * volume's use through all schedulers in the last finished period of the meter, in percent of
+     * its plan's rate, plus 1 (0 where not told); {@code byOthers}, units that the shard served for
+     * the volume through other schedulers since its last answer to this one; {@code load}, the
+     * node's report by {@link Scheduler.Settings#loadNames} (empty where none, NaN where a name was
+     * not told).
      */
     record Told(int used, int byOthers, float[] load) {
         public static final Told NOTHING = new Told(0, 0, new float[0]);
--- a/src/main/java/cypressglade/core/RequestLife.java
+++ b/src/main/java/cypressglade/core/RequestLife.java
@@ -11,9 +11,10 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * One request from its taking to its one answer. Until the module sends it somewhere it takes no thread: what
- * ends it by then (a refusal, its client's leave, its deadline) is done where it is told. From its first
- * attempt on it is read from top to bottom in {@link #run}, as a blocking task; its links do not block.
+ * One request from its taking to its one answer. Until the module sends it somewhere it takes no
+ * thread: what ends it by then (a refusal, its client's leave, its deadline) is done where it is
+ * told. From its first attempt on it is read from top to bottom in {@link #run}, as a blocking
+ * task; its links do not block.
  */
 public final class RequestLife<W> implements Runnable {
     /** How long past the end of a request the module's last word is waited for. */
@@ -35,7 +36,8 @@
     private boolean gone; // as the request's own task has heard
     private volatile boolean left; // as it is, for an attempt that has not begun
 
-    // The engine's alone: the number that the module knows the request by, and what was ordered and ended.
+    // The engine's alone: the number that the module knows the request by, and what was ordered and
+    // ended.
     long id;
     long node;
     int ordered;
@@ -46,29 +48,41 @@
     boolean mayHaveRun;
 
     /** Waits for the module's word without a thread, works on one, or has its answer. */
-    private enum Phase { WAITING, WORKING, OVER }
+    private enum Phase {
+        WAITING,
+        WORKING,
+        OVER
+    }
 
-    /** What a request can be told: the module's order, the end of its attempt, or that its client is gone. */
-    sealed interface Signal { }
+    /**
+     * What a request can be told: the module's order, the end of its attempt, or that its client is
+     * gone.
+     */
+    sealed interface Signal {}
 
-    record Send(long node, Duration limit) implements Signal { }
+    record Send(long node, Duration limit) implements Signal {}
 
-    record Refuse(Duration retryAfter) implements Signal { }
+    record Refuse(Duration retryAfter) implements Signal {}
 
-    record Fail() implements Signal { }
+    record Fail() implements Signal {}
 
-    record Cancel(int attempt) implements Signal { }
+    record Cancel(int attempt) implements Signal {}
 
-    private record Ended(Ending ending) implements Signal { }
+    private record Ended(Ending ending) implements Signal {}
 
-    private record Gone() implements Signal { }
+    private record Gone() implements Signal {}
 
-    private record Late() implements Signal { }
+    private record Late() implements Signal {}
 
     /** The program stops and can wait no longer. */
-    private record Stop() implements Signal { }
+    private record Stop() implements Signal {}
 
-    public RequestLife(Engine engine, Counters counters, IoRequest request, W work, Caller caller,
+    public RequestLife(
+            Engine engine,
+            Counters counters,
+            IoRequest request,
+            W work,
+            Caller caller,
             NodeLink<W> link) {
         this.engine = engine;
         this.counters = counters;
@@ -90,7 +104,8 @@
             signals.add(signal);
         } else if (signal instanceof Send && phase.compareAndSet(Phase.WAITING, Phase.WORKING)) {
             signals.add(signal);
-            if (!pool.work(this)) { // no thread for it: it never ran anywhere, and the module hears so
+            if (!pool.work(
+                    this)) { // no thread for it: it never ran anywhere, and the module hears so
                 caller.refused(Duration.ZERO);
                 engine.withdrawn(this, false);
             }
@@ -112,7 +127,10 @@
         signal(new Stop());
     }
 
-    /** The client went away: the module hears of it, nothing is answered, and nothing begins any more. */
+    /**
+     * The client went away: the module hears of it, nothing is answered, and nothing begins any
+     * more.
+     */
     public void clientGone() {
         left = true;
         engine.left(this); // before the client can come again by another connection
@@ -150,8 +168,15 @@
             counters.add(Name.SENT);
             Instant sent = Time.now();
             if (attempt > 0) {
-                log.note(caller.id(), What.RETRIED, "attempt " + (attempt + 1) + " at node " + send.node()
-                        + ", as the last ended " + last);
+                log.note(
+                        caller.id(),
+                        What.RETRIED,
+                        "attempt "
+                                + (attempt + 1)
+                                + " at node "
+                                + send.node()
+                                + ", as the last ended "
+                                + last);
             }
             Ending ending = attempt(send, sent);
             last = ending.status();
@@ -165,8 +190,13 @@
                 log.note(caller.id(), What.STOPPED, "an attempt was out at node " + send.node());
                 fail();
             }
-            engine.ended(this, attempt, send.node(), ending, ending.took().orElseGet(
-                    () -> Duration.between(sent, Time.now())), served || gone || stopped);
+            engine.ended(
+                    this,
+                    attempt,
+                    send.node(),
+                    ending,
+                    ending.took().orElseGet(() -> Duration.between(sent, Time.now())),
+                    served || gone || stopped);
             if (served || gone || stopped) {
                 return;
             }
@@ -174,12 +204,17 @@
         }
     }
 
-    /** Gives the answer that an order stands for; false where it is none, as a cancel that comes late. */
+    /**
+     * Gives the answer that an order stands for; false where it is none, as a cancel that comes
+     * late.
+     */
     private boolean end(Signal order) {
         if (order instanceof Refuse refuse) {
             counters.add(Name.ANSWERED_REFUSED);
-            log.note(caller.id(), What.REFUSED, "by the module, to come again after "
-                    + refuse.retryAfter().toMillis() + " ms");
+            log.note(
+                    caller.id(),
+                    What.REFUSED,
+                    "by the module, to come again after " + refuse.retryAfter().toMillis() + " ms");
             caller.refused(refuse.retryAfter());
         } else if (order instanceof Fail) {
             log.note(caller.id(), What.FAILED, "by the module");
@@ -200,7 +235,9 @@
         return true;
     }
 
-    /** Nothing is out for it: what was never sent is refused, which promises that it did not run. */
+    /**
+     * Nothing is out for it: what was never sent is refused, which promises that it did not run.
+     */
     private void endAtStop() {
         log.note(caller.id(), What.STOPPED, "no attempt was out");
         if (worked) {
@@ -217,14 +254,21 @@
         caller.failed();
     }
 
-    /** Waits for the end of one attempt, which comes by its limit; by then no connection carries it. */
+    /**
+     * Waits for the end of one attempt, which comes by its limit; by then no connection carries it.
+     */
     private Ending attempt(Send send, Instant sent) {
         Instant until = request.expiry();
         if (!send.limit().isZero() && sent.plus(send.limit()).isBefore(until)) {
             until = sent.plus(send.limit());
         }
-        Attempt out = link.send(send.node(), work, until, () -> !left && caller.present(),
-                ending -> signal(new Ended(ending)));
+        Attempt out =
+                link.send(
+                        send.node(),
+                        work,
+                        until,
+                        () -> !left && caller.present(),
+                        ending -> signal(new Ended(ending)));
         while (true) {
             Signal signal = await(Instant.MAX);
             if (signal instanceof Ended end) {
@@ -235,7 +279,8 @@
                 stopped = true;
                 out.abandon();
             } else if (signal instanceof Gone) {
-                gone = true; // an attempt that has begun runs on: what becomes of it still tells of its node
+                gone = true; // an attempt that has begun runs on: what becomes of it still tells
+                // of its node
                 engine.withdrawn(this, true);
             }
         }
--- a/src/main/java/cypressglade/core/RequestLog.java
+++ b/src/main/java/cypressglade/core/RequestLog.java
@@ -7,15 +7,17 @@
 import java.util.Locale;
 
 /**
- * Why requests and connections ended as they did, by the ids that clients gave: every close, retry, refusal
- * and failure. The latest are kept for who asks ({@code GET /recent}); what should not happen goes to the log
- * as well, a bounded number of lines a second. Safe for use by several threads.
+ * Why requests and connections ended as they did, by the ids that clients gave: every close, retry,
+ * refusal and failure. The latest are kept for who asks ({@code GET /recent}); what should not
+ * happen goes to the log as well, a bounded number of lines a second. Safe for use by several
+ * threads.
  */
 public final class RequestLog {
     private static final System.Logger LOG = System.getLogger(RequestLog.class.getName());
     private static final int MOST_KEPT = 512;
     private static final int MOST_LINES = 10;
     private static final Duration PERIOD = Duration.ofSeconds(1);
+
     /** Stands for the id where there is none, as of a connection between two requests. */
     public static final String NO_ID = "-";
 
@@ -26,7 +28,15 @@
 
     /** What became of a request or a connection. */
     public enum What {
-        REFUSED, FAILED, RETRIED, BY_DEADLINE, MALFORMED, GONE, CLOSED, CUT_OFF, STOPPED;
+        REFUSED,
+        FAILED,
+        RETRIED,
+        BY_DEADLINE,
+        MALFORMED,
+        GONE,
+        CLOSED,
+        CUT_OFF,
+        STOPPED;
 
         /** Whether a request may have gone without what it is owed. */
         boolean alarming() {
--- a/src/main/java/cypressglade/core/RequestPool.java
+++ b/src/main/java/cypressglade/core/RequestPool.java
@@ -11,8 +11,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * The open requests, whose number is bounded. One that is sent somewhere blocks on a thread of its own; one
- * that waits for the module's word has none, so that a refusal costs no change of threads but the module's.
+ * The open requests, whose number is bounded. One that is sent somewhere blocks on a thread of its
+ * own; one that waits for the module's word has none, so that a refusal costs no change of threads
+ * but the module's.
  */
 public final class RequestPool implements AutoCloseable {
     /** How long a thread waits for its next request; its stack stays in memory for that long. */
@@ -28,12 +29,18 @@
     public RequestPool(int most, long stackBytes, Counters counters) {
         this.most = most;
         this.counters = counters;
-        threads = new ThreadPoolExecutor(0, most, KEEP.toMillis(), TimeUnit.MILLISECONDS,
-                new SynchronousQueue<>(), task -> {
-                    Thread thread = new Thread(null, task, "request", stackBytes);
-                    thread.setDaemon(true);
-                    return thread;
-                });
+        threads =
+                new ThreadPoolExecutor(
+                        0,
+                        most,
+                        KEEP.toMillis(),
+                        TimeUnit.MILLISECONDS,
+                        new SynchronousQueue<>(),
+                        task -> {
+                            Thread thread = new Thread(null, task, "request", stackBytes);
+                            thread.setDaemon(true);
+                            return thread;
+                        });
     }
 
     /** Takes a request; false when there is no room, and then nothing has happened to it. */
@@ -70,7 +77,10 @@
         open.decrementAndGet();
     }
 
-    /** Answers those that the module left without a word past their deadline: to be called now and then. */
+    /**
+     * Answers those that the module left without a word past their deadline: to be called now and
+     * then.
+     */
     public void late(Instant now) {
         waiting.forEach(life -> life.late(now));
     }
@@ -82,7 +92,8 @@
     }
 
     /**
-     * Takes new bounds, on requests that are open and on those of them that have a thread; what runs goes on.
+     * Takes new bounds, on requests that are open and on those of them that have a thread; what
+     * runs goes on.
      */
     public void use(int mostOpen, int mostThreads) {
         most = mostOpen;
--- a/src/main/java/cypressglade/core/Retry.java
+++ b/src/main/java/cypressglade/core/Retry.java
@@ -5,15 +5,15 @@
 import java.util.function.Predicate;
 
 /**
- * Tries again what the machine refuses for a moment: an address whose last owner is just dying, no room for
- * one more socket (EADDRINUSE, ENFILE, ENOBUFS), a file that a failing disk does not give. A process must not
- * end by what is over a little later. It blocks its caller meanwhile.
+ * Tries again what the machine refuses for a moment: an address whose last owner is just dying, no
+ * room for one more socket (EADDRINUSE, ENFILE, ENOBUFS), a file that a failing disk does not give.
+ * A process must not end by what is over a little later. It blocks its caller meanwhile.
  */
 public final class Retry {
     private static final System.Logger LOG = System.getLogger(Retry.class.getName());
     private static final Duration PAUSE = Duration.ofMillis(50);
 
-    private Retry() { }
+    private Retry() {}
 
     /** What is tried. */
     public interface Call<T, E extends Exception> {
@@ -28,8 +28,8 @@
      * @param passing whether a failure may pass by itself; any other is thrown at once
      * @throws E the last failure, where none succeeded in time or the thread was interrupted
      */
-    public static <T, E extends Exception> T untilDone(Duration most, String what,
-            Predicate<Exception> passing, Call<T, E> call) throws E {
+    public static <T, E extends Exception> T untilDone(
+            Duration most, String what, Predicate<Exception> passing, Call<T, E> call) throws E {
         Instant end = Time.now().plus(most);
         boolean told = false;
         while (true) {
@@ -41,8 +41,12 @@
                 }
                 if (!told) {
                     told = true;
-                    LOG.log(System.Logger.Level.WARNING, "{0}: {1}; tried again for {2} ms", what,
-                            refused.toString(), most.toMillis());
+                    LOG.log(
+                            System.Logger.Level.WARNING,
+                            "{0}: {1}; tried again for {2} ms",
+                            what,
+                            refused.toString(),
+                            most.toMillis());
                 }
             }
         }
--- a/src/main/java/cypressglade/core/StartTimes.java
+++ b/src/main/java/cypressglade/core/StartTimes.java
@@ -9,10 +9,10 @@
 import java.util.Set;
 
 /**
- * When nodes started, on the clock of {@link Time}, which goes on evenly. Discovery tells it by the wall
- * clock, which may be stepped by an hour either way between a node's start and the list that tells of it. Of
- * the times that a told one can mean under the steps seen so far, the latest that is not ahead counts: a node
- * must not be taken for warm. One thread at a time.
+ * When nodes started, on the clock of {@link Time}, which goes on evenly. Discovery tells it by the
+ * wall clock, which may be stepped by an hour either way between a node's start and the list that
+ * tells of it. Of the times that a told one can mean under the steps seen so far, the latest that
+ * is not ahead counts: a node must not be taken for warm. One thread at a time.
  */
 final class StartTimes {
     private static final Duration LEAST_STEP = Duration.ofMillis(500);
@@ -21,7 +21,7 @@
     private final Set<Duration> steps = new LinkedHashSet<>(Set.of(Duration.ZERO));
     private final Map<String, Start> starts = new HashMap<>();
 
-    private record Start(Instant told, Instant onOurClock) { }
+    private record Start(Instant told, Instant onOurClock) {}
 
     /**
      * The start of a node's process, on our clock; what was told before keeps its meaning.
@@ -45,12 +45,16 @@
     }
 
     private Instant latestNotAhead(Instant told, Instant now) {
-        return steps.stream().map(told::minus).filter(start -> !start.isAfter(now)).max(Instant::compareTo)
+        return steps.stream()
+                .map(told::minus)
+                .filter(start -> !start.isAfter(now))
+                .max(Instant::compareTo)
                 .orElse(now);
     }
 
     private void noteStep(Duration ahead) {
-        boolean known = steps.stream().anyMatch(step -> step.minus(ahead).abs().compareTo(LEAST_STEP) < 0);
+        boolean known =
+                steps.stream().anyMatch(step -> step.minus(ahead).abs().compareTo(LEAST_STEP) < 0);
         if (!known && steps.size() < MOST_STEPS) {
             steps.add(ahead);
         }
--- a/src/main/java/cypressglade/core/Time.java
+++ b/src/main/java/cypressglade/core/Time.java
@@ -8,7 +8,7 @@
     private static final Instant START = Instant.now();
     private static final long START_TICK = System.nanoTime();
 
-    private Time() { }
+    private Time() {}
 
     public static Instant now() {
         return START.plusNanos(System.nanoTime() - START_TICK);
--- a/src/main/java/cypressglade/fleet/View.java
+++ b/src/main/java/cypressglade/fleet/View.java
@@ -18,16 +18,21 @@
 import java.util.stream.Collectors;
 
 /**
- * What one member sees of the fleet, kept from the changes that its membership tells, and written as one line
- * of JSON: for the log at each change ({@link #change}), and whole for whoever asks ({@link #whole}).
+ * What one member sees of the fleet, kept from the changes that its membership tells, and written
+ * as one line of JSON: for the log at each change ({@link #change}), and whole for whoever asks
+ * ({@link #whole}).
  *
- * <p>A member that goes from present (alive or suspect) to absent (dead or left) and back again counts as a
- * flap. Keeps a row for each member that the membership knows, and forgets it with {@link #retain}. Not safe
- * for use by several threads.
+ * <p>A member that goes from present (alive or suspect) to absent (dead or left) and back again
+ * counts as a flap. Keeps a row for each member that the membership knows, and forgets it with
+ * {@link #retain}. Not safe for use by several threads.
  */
 public final class View {
-    /** Refused names that are remembered, so that each is logged once; beyond that all are forgotten. */
+    /**
+     * Refused names that are remembered, so that each is logged once; beyond that all are
+     * forgotten.
+     */
     private static final int MOST_REFUSALS = 64;
+
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final String self;
@@ -38,7 +43,7 @@
     private long flaps;
 
     /** What is known of one other member: since when, and how often it came back from absent. */
-    private record Seen(Member member, Instant since, int flaps) { }
+    private record Seen(Member member, Instant since, int flaps) {}
 
     /** The view of the member of this name, which starts at {@code now} knowing nobody. */
     public View(String self, Instant now) {
@@ -62,8 +67,9 @@
     }
 
     /**
-     * Word of {@code claim} was refused, as its name is in use by {@code known}; as one line of JSON, or
-     * nothing where these two were told of before: who is refused comes again with each message.
+     * Word of {@code claim} was refused, as its name is in use by {@code known}; as one line of
+     * JSON, or nothing where these two were told of before: who is refused comes again with each
+     * message.
      */
     public String refusal(Member known, Member claim, Instant now) {
         if (refused.size() >= MOST_REFUSALS) {
@@ -75,20 +81,26 @@
         ObjectNode line = line("name_refused", now);
         line.set("known", entry(new Seen(known, now, 0), now));
         line.set("claim", entry(new Seen(claim, now, 0), now));
-        return line.put("remedy", "give one of the two processes another name in its fleet file").toString();
+        return line.put("remedy", "give one of the two processes another name in its fleet file")
+                .toString();
     }
 
     /**
-     * The whole view, as JSON: this member with its incarnation and health, each other member
-     * with its state and for how long it has held it, counts by state, changes and flaps since the start, and
-     * for how long no change has come ({@code settled_ms}).
+     * The whole view, as JSON: this member with its incarnation and health, each other member with
+     * its state and for how long it has held it, counts by state, changes and flaps since the
+     * start, and for how long no change has come ({@code settled_ms}).
      */
     public ObjectNode whole(Swim swim, Instant now) {
-        ObjectNode line = line("view", now).put("incarnation", swim.self().incarnation())
-                .put("life", Long.toHexString(swim.self().life())).put("health", swim.health().score())
-                .put("stalls", swim.stalls()).put("names_refused", swim.namesRefused())
-                .put("changes", changes).put("flaps", flaps)
-                .put("settled_ms", Duration.between(changed, now).toMillis());
+        ObjectNode line =
+                line("view", now)
+                        .put("incarnation", swim.self().incarnation())
+                        .put("life", Long.toHexString(swim.self().life()))
+                        .put("health", swim.health().score())
+                        .put("stalls", swim.stalls())
+                        .put("names_refused", swim.namesRefused())
+                        .put("changes", changes)
+                        .put("flaps", flaps)
+                        .put("settled_ms", Duration.between(changed, now).toMillis());
         line.set("counts", counts());
         ArrayNode others = line.putArray("members");
         seen.values().forEach(one -> others.add(entry(one, now)));
@@ -101,13 +113,17 @@
     }
 
     private ObjectNode line(String kind, Instant now) {
-        return JSON.createObjectNode().put("fleet", kind).put("self", self).put("at_ms", now.toEpochMilli());
+        return JSON.createObjectNode()
+                .put("fleet", kind)
+                .put("self", self)
+                .put("at_ms", now.toEpochMilli());
     }
 
     private ObjectNode counts() {
         ObjectNode counts = JSON.createObjectNode();
         for (State state : State.values()) {
-            counts.put(lower(state),
+            counts.put(
+                    lower(state),
                     seen.values().stream().filter(one -> one.member.state() == state).count());
         }
         return counts;
@@ -116,11 +132,14 @@
     private static ObjectNode entry(Seen one, Instant now) {
         Member member = one.member;
         InetSocketAddress at = member.address();
-        return JSON.createObjectNode().put("name", member.name())
+        return JSON.createObjectNode()
+                .put("name", member.name())
                 .put("address", at.getHostString() + ":" + at.getPort())
-                .put("incarnation", member.incarnation()).put("life", Long.toHexString(member.life()))
+                .put("incarnation", member.incarnation())
+                .put("life", Long.toHexString(member.life()))
                 .put("state", lower(member.state()))
-                .put("since_ms", Duration.between(one.since, now).toMillis()).put("flaps", one.flaps);
+                .put("since_ms", Duration.between(one.since, now).toMillis())
+                .put("flaps", one.flaps);
     }
 
     private static String lower(State state) {
--- a/src/main/java/cypressglade/http/Body.java
+++ b/src/main/java/cypressglade/http/Body.java
@@ -3,7 +3,10 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** The body of an answer as it comes; made to its length at once where that is told. Its reader bounds it. */
+/**
+ * The body of an answer as it comes; made to its length at once where that is told. Its reader
+ * bounds it.
+ */
 final class Body {
     private static final int FIRST = 4096;
 
--- a/src/main/java/cypressglade/http/ClientConnection.java
+++ b/src/main/java/cypressglade/http/ClientConnection.java
@@ -5,22 +5,28 @@
 import org.xnio.StreamConnection;
 
 /**
- * A client's connection: what is open on it and since when, and what room its bytes take. The I/O thread's
- * alone.
+ * A client's connection: what is open on it and since when, and what room its bytes take. The I/O
+ * thread's alone.
  */
 final class ClientConnection {
     final StreamConnection connection;
     final LingeringClose lingering;
     private final WatchedSourceConduit source;
+
     /** Since when nothing is open, or the first part of a request is here. */
     Instant since = Time.now();
+
     /** Part of a request's head is here. */
     boolean coming;
+
     /** A head is here whole and its body is not. */
     boolean bodyAwaited;
+
     boolean open;
+
     /** A request was answered on it, not just a look at the health. */
     boolean answered;
+
     boolean writing;
     int receiving;
     int holding;
@@ -34,8 +40,8 @@
     }
 
     /**
-     * Bytes came. A client that has been answered may begin its next request at the end of its rest, and
-     * write it slowly; one that has not has its time from the connect, whatever it sends.
+     * Bytes came. A client that has been answered may begin its next request at the end of its
+     * rest, and write it slowly; one that has not has its time from the connect, whatever it sends.
      */
     private void heard() {
         if (!open && !coming && !bodyAwaited) {
--- a/src/main/java/cypressglade/http/ClientListener.java
+++ b/src/main/java/cypressglade/http/ClientListener.java
@@ -53,39 +53,61 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Where clients connect. All of it runs on the I/O thread but the request's own task. A connection with
- * nothing open has a short time only, whatever it sends or does not send: those that say nothing, or never
- * end what they say, must not keep the others out.
+ * Where clients connect. All of it runs on the I/O thread but the request's own task. A connection
+ * with nothing open has a short time only, whatever it sends or does not send: those that say
+ * nothing, or never end what they say, must not keep the others out.
  */
 public final class ClientListener implements AutoCloseable {
     private static final int MOST_BODY = 64 * 1024;
     private static final int MOST_HEAD = 16 * 1024;
     private static final int BUFFER = 4 * 1024;
+
     /**
-     * Buffers kept for the next request, 2 MB. The framework frees what is not kept later and in bulk:
-     * without any, a storm of 2,000 answers a second had 12 MB waiting to be freed and ran out.
+     * Buffers kept for the next request, 2 MB. The framework frees what is not kept later and in
+     * bulk: without any, a storm of 2,000 answers a second had 12 MB waiting to be freed and ran
+     * out.
      */
     private static final int KEPT_BUFFERS = 512;
+
     private static final int PART = 64 * 1024;
-    /** A connection with no open request may be closed after 2 s; one of no client must be within 3 s. */
+
+    /**
+     * A connection with no open request may be closed after 2 s; one of no client must be within 3
+     * s.
+     */
     private static final Duration PATIENCE = Duration.ofMillis(2200);
+
     /** For a client to read its answer; beyond any deadline. */
     private static final Duration READING = Duration.ofSeconds(7);
+
     private static final Duration RECEIVE_LIMIT = Duration.ofSeconds(2);
     private static final Duration SWEEP = Duration.ofMillis(200);
     private static final Duration SWEEP_CROWD = Duration.ofMillis(20);
-    /** What a client may send ahead of time; more is not read, nor a leave behind it seen, till its turn. */
+
+    /**
+     * What a client may send ahead of time; more is not read, nor a leave behind it seen, till its
+     * turn.
+     */
     private static final int MOST_PIPELINED = 16 * 1024;
-    /** When a connection may make way for others: one that was used, and one that never said anything. */
+
+    /**
+     * When a connection may make way for others: one that was used, and one that never said
+     * anything.
+     */
     private static final Duration RESTED = Duration.ofSeconds(1);
+
     private static final Duration SILENT = Duration.ofMillis(100);
+
     /**
-     * How often this thread looks at how late it runs, and from where that is late on average: at 50 ms next
-     * to nothing was in time where two schedulers of 0.43 of a core were asked 5,600 times a second.
+     * How often this thread looks at how late it runs, and from where that is late on average: at
+     * 50 ms next to nothing was in time where two schedulers of 0.43 of a core were asked 5,600
+     * times a second.
      */
     private static final Duration PACE = Duration.ofMillis(20);
+
     private static final Duration LATE = Duration.ofMillis(20);
     private static final int LEAST_CLIENTS = 32;
+
     /** Accepted beyond the bound, while those that make way for them close. */
     private static final int CROSSING = 8;
 
@@ -113,10 +135,19 @@
     private Instant last = Instant.MAX;
     private boolean leaving;
     private boolean portLeft;
-    private volatile int connected; // clients and those that are being closed in order, for other threads
-
-    public ClientListener(Loop loop, Settings settings, Engine engine, Counters counters, RequestPool pool,
-            NodeLink<HttpWork> link, BooleanSupplier ready, Budget budget, Optional<Waves> waves) {
+    private volatile int
+            connected; // clients and those that are being closed in order, for other threads
+
+    public ClientListener(
+            Loop loop,
+            Settings settings,
+            Engine engine,
+            Counters counters,
+            RequestPool pool,
+            NodeLink<HttpWork> link,
+            BooleanSupplier ready,
+            Budget budget,
+            Optional<Waves> waves) {
         this.waves = waves;
         this.loop = loop;
         this.engine = engine;
@@ -127,11 +158,14 @@
         this.ready = ready;
         this.parser = new RequestParser(settings);
         this.budget = budget;
-        http = new HttpOpenListener(new DefaultByteBufferPool(true, BUFFER, KEPT_BUFFERS, 0),
-                OptionMap.builder()
-                .set(UndertowOptions.ALWAYS_SET_DATE, false)
-                .set(UndertowOptions.MAX_HEADER_SIZE, MOST_HEAD)
-                .set(UndertowOptions.DECODE_URL, false).getMap());
+        http =
+                new HttpOpenListener(
+                        new DefaultByteBufferPool(true, BUFFER, KEPT_BUFFERS, 0),
+                        OptionMap.builder()
+                                .set(UndertowOptions.ALWAYS_SET_DATE, false)
+                                .set(UndertowOptions.MAX_HEADER_SIZE, MOST_HEAD)
+                                .set(UndertowOptions.DECODE_URL, false)
+                                .getMap());
         http.setRootHandler(Handlers.httpContinueRead(this::handle));
     }
 
@@ -147,13 +181,16 @@
     /** Looks at how late this thread runs, and accepts no more than it can work on in time. */
     private void pace(Instant due) {
         Instant now = Time.now();
-        atOnce = intake.look(Duration.between(due, now), clients.size(), budget.clientConnections());
+        atOnce =
+                intake.look(Duration.between(due, now), clients.size(), budget.clientConnections());
         loop.late(intake.lateness());
         int accepted = atOnce;
         if (waves.isPresent()) { // it paces those who come, and turns away none who are here
             int more = waves.get().look(came, now);
-            accepted = more == Integer.MAX_VALUE ? atOnce
-                    : Math.min(atOnce, clients.size() - CROSSING + more);
+            accepted =
+                    more == Integer.MAX_VALUE
+                            ? atOnce
+                            : Math.min(atOnce, clients.size() - CROSSING + more);
             came = 0;
         }
         if (accepted != acceptedAtOnce && !portLeft) {
@@ -173,12 +210,13 @@
 
     /** Takes new settings and a new budget; requests that are open go on. */
     public void use(Settings settings, Budget next) {
-        loop.execute(() -> {
-            parser = new RequestParser(settings);
-            budget = next;
-            acceptedAtOnce = Integer.MAX_VALUE; // the next look bounds it anew
-            atOnce = Integer.MAX_VALUE;
-        });
+        loop.execute(
+                () -> {
+                    parser = new RequestParser(settings);
+                    budget = next;
+                    acceptedAtOnce = Integer.MAX_VALUE; // the next look bounds it anew
+                    atOnce = Integer.MAX_VALUE;
+                });
     }
 
     /**
@@ -193,7 +231,10 @@
         return listening.address();
     }
 
-    /** What is taken from now on is answered by a time at the latest, and idle connections stay till then. */
+    /**
+     * What is taken from now on is answered by a time at the latest, and idle connections stay till
+     * then.
+     */
     public void answerBy(Instant time) {
         loop.execute(() -> last = time);
     }
@@ -210,11 +251,13 @@
     }
 
     private void leave(Predicate<ClientConnection> whom) {
-        loop.execute(() -> {
-            leaving = true;
-            List.copyOf(clients.values()).stream().filter(whom)
-                    .forEach(client -> closeIfAtRest(client, "leaving"));
-        });
+        loop.execute(
+                () -> {
+                    leaving = true;
+                    List.copyOf(clients.values()).stream()
+                            .filter(whom)
+                            .forEach(client -> closeIfAtRest(client, "leaving"));
+                });
     }
 
     /** Connections of clients that are not closed yet, though it may have begun. */
@@ -223,17 +266,18 @@
     }
 
     /**
-     * Takes no new connection any more, as another process listens on the same port. Who waits to be accepted
-     * is taken first: a listener that closes resets those. At the program's end it would be too late, as new
-     * ones come by the hundreds once each answer ends its connection.
+     * Takes no new connection any more, as another process listens on the same port. Who waits to
+     * be accepted is taken first: a listener that closes resets those. At the program's end it
+     * would be too late, as new ones come by the hundreds once each answer ends its connection.
      */
     public void leavePort() {
-        loop.execute(() -> {
-            if (!portLeft) {
-                portLeft = true;
-                listening.acceptWaitingAndClose();
-            }
-        });
+        loop.execute(
+                () -> {
+                    if (!portLeft) {
+                        portLeft = true;
+                        listening.acceptWaitingAndClose();
+                    }
+                });
     }
 
     /** Undoes {@link #leave}: answers keep their connections again, and idle ones stay. */
@@ -259,10 +303,11 @@
     }
 
     /**
-     * Where many are here, those who said nothing since they came make way at once: a client asks right after
-     * it connects, and others wait behind them in the backlog, by the hundreds in a crowd. At the bound those
-     * at rest follow, longest first; one that was used just now is spared, as its next request may be on it
-     * and not read yet while this program is short of time.
+     * Where many are here, those who said nothing since they came make way at once: a client asks
+     * right after it connects, and others wait behind them in the backlog, by the hundreds in a
+     * crowd. At the bound those at rest follow, longest first; one that was used just now is
+     * spared, as its next request may be on it and not read yet while this program is short of
+     * time.
      */
     private void makeRoom() {
         if (!crowded()) {
@@ -270,10 +315,12 @@
         }
         forgetClosed();
         Instant now = Time.now();
-        List.copyOf(clients.values()).stream().filter(client -> client.idle() && !client.answered)
+        List.copyOf(clients.values()).stream()
+                .filter(client -> client.idle() && !client.answered)
                 .filter(client -> client.since.isBefore(now.minus(SILENT)))
                 .forEach(client -> closeIfAtRest(client, "crowded, and silent since it came"));
-        List.copyOf(clients.values()).stream().filter(client -> client.idle() && client.answered)
+        List.copyOf(clients.values()).stream()
+                .filter(client -> client.idle() && client.answered)
                 .filter(client -> client.since.isBefore(now.minus(RESTED)))
                 .sorted(Comparator.comparing(client -> client.since))
                 .limit(Math.max(0, clients.size() - mostWithoutCrowd() + CROSSING))
@@ -296,21 +343,32 @@
         pool.late(Time.now());
         Instant oldest = Time.now().minus(PATIENCE);
         Instant unread = Time.now().minus(READING);
-        List.copyOf(clients.values()).stream().filter(client -> client.writing)
-                .filter(client -> client.since.isBefore(unread)).forEach(client -> {
-                    log.note(RequestLog.NO_ID, What.CUT_OFF, "its answer was not read in time");
-                    close(client);
-                });
-        List.copyOf(clients.values()).stream().filter(client -> client.since.isBefore(oldest))
+        List.copyOf(clients.values()).stream()
+                .filter(client -> client.writing)
+                .filter(client -> client.since.isBefore(unread))
+                .forEach(
+                        client -> {
+                            log.note(
+                                    RequestLog.NO_ID,
+                                    What.CUT_OFF,
+                                    "its answer was not read in time");
+                            close(client);
+                        });
+        List.copyOf(clients.values()).stream()
+                .filter(client -> client.since.isBefore(oldest))
                 .filter(client -> leaving || last.equals(Instant.MAX) || !client.answered)
                 .forEach(client -> closeIfAtRest(client, "at rest for long"));
         List.copyOf(clients.values()).stream()
                 .filter(client -> client.coming && !client.open && !client.writing)
-                .filter(client -> client.since.isBefore(oldest)).forEach(this::closeHalf);
+                .filter(client -> client.since.isBefore(oldest))
+                .forEach(this::closeHalf);
         loop.after(crowded() ? SWEEP_CROWD : SWEEP, this::sweep);
     }
 
-    /** Closes a connection on which half a request is; one whose rest has come just now has one more look. */
+    /**
+     * Closes a connection on which half a request is; one whose rest has come just now has one more
+     * look.
+     */
     private void closeHalf(ClientConnection client) {
         Instant longest = Time.now().minus(PATIENCE).minus(SWEEP);
         if (client.since.isBefore(longest) || !client.hasUnread()) {
@@ -320,7 +378,8 @@
     }
 
     /**
-     * Closes a connection on which nothing is owed; one whose next request is here already is read instead.
+     * Closes a connection on which nothing is owed; one whose next request is here already is read
+     * instead.
      */
     private void closeIfAtRest(ClientConnection client, String why) {
         if (client.idle() && !client.hasUnread()) {
@@ -330,8 +389,8 @@
     }
 
     /**
-     * Ends a connection with nothing owed on it, by a lingering close. Whoever was never answered can lose
-     * nothing by a plain one, and in a crowd there is no time for more.
+     * Ends a connection with nothing owed on it, by a lingering close. Whoever was never answered
+     * can lose nothing by a plain one, and in a crowd there is no time for more.
      */
     private void closeInOrder(ClientConnection client) {
         if (!client.answered) {
@@ -349,7 +408,8 @@
     }
 
     private void forgetClosed() {
-        List.copyOf(clients.values()).stream().filter(client -> !client.connection.isOpen())
+        List.copyOf(clients.values()).stream()
+                .filter(client -> !client.connection.isOpen())
                 .forEach(this::left);
     }
 
@@ -365,11 +425,14 @@
     }
 
     private ClientConnection client(HttpServerExchange exchange) {
-        StreamConnection connection = ((HttpServerConnection) exchange.getConnection()).getChannel();
-        return clients.computeIfAbsent(connection, unknown -> { // closed just now
-            connected++;
-            return new ClientConnection(unknown);
-        });
+        StreamConnection connection =
+                ((HttpServerConnection) exchange.getConnection()).getChannel();
+        return clients.computeIfAbsent(
+                connection,
+                unknown -> { // closed just now
+                    connected++;
+                    return new ClientConnection(unknown);
+                });
     }
 
     private static String id(HttpServerExchange exchange) {
@@ -391,7 +454,8 @@
         switch (exchange.getRequestURI()) {
             case "/healthz" -> answer(exchange, ready.getAsBoolean() ? 200 : 503, new byte[0]);
             case "/recent" -> answer(exchange, 200, log.text().getBytes(StandardCharsets.UTF_8));
-            case "/counters" -> answer(exchange, 200, counters.text().getBytes(StandardCharsets.UTF_8));
+            case "/counters" ->
+                    answer(exchange, 200, counters.text().getBytes(StandardCharsets.UTF_8));
             default -> take(exchange, arrived);
         }
     }
@@ -399,12 +463,19 @@
     private void take(HttpServerExchange exchange, Instant arrived) {
         IoRequest request;
         try {
-            request = parser.parse(exchange.getRequestMethod().toString(), exchange.getRequestURI(),
-                    exchange.getRequestHeaders(), arrived).by(last);
+            request =
+                    parser.parse(
+                                    exchange.getRequestMethod().toString(),
+                                    exchange.getRequestURI(),
+                                    exchange.getRequestHeaders(),
+                                    arrived)
+                            .by(last);
             if (exchange.getRequestContentLength() > MOST_BODY) {
                 throw new RequestParser.Rejected(413, "the body is over 64 KiB");
             }
-            if (!ids.take(exchange.getRequestHeaders().getFirst(RequestParser.TRACE_ID), request.expiry())) {
+            if (!ids.take(
+                    exchange.getRequestHeaders().getFirst(RequestParser.TRACE_ID),
+                    request.expiry())) {
                 throw new RequestParser.Rejected(409, "X-Trace-Id is another request's");
             }
         } catch (RequestParser.Rejected rejected) {
@@ -416,32 +487,40 @@
             receipt.turnAway();
             return;
         }
-        // The receiver's bound leaves the connection open for the 413, where the exchange's own closes it.
+        // The receiver's bound leaves the connection open for the 413, where the exchange's own
+        // closes it.
         exchange.getRequestReceiver().setMaxBufferSize(MOST_BODY);
-        // Where the body comes after a 100 Continue, this runs as a root handler: an exchange that is not
+        // Where the body comes after a 100 Continue, this runs as a root handler: an exchange that
+        // is not
         // dispatched by its end is ended by the framework with an empty 200, which no node made.
-        exchange.getRequestReceiver().receiveFullBytes(
-                (same, body) -> same.dispatch(SameThreadExecutor.INSTANCE, () -> {
-                    if (receipt.end()) {
-                        begin(same, request, body);
-                    }
-                }), (same, failure) -> {
-            if (!receipt.end()) {
-                return;
-            }
-            if (failure instanceof Receiver.RequestToLargeException) {
-                reject(same, 413, "the body is over 64 KiB");
-            } else {
-                counters.add(Name.MALFORMED);
-                log.note(id(same), What.MALFORMED, "its body broke off: " + failure);
-                IoUtils.safeClose(same.getConnection());
-            }
-        });
+        exchange.getRequestReceiver()
+                .receiveFullBytes(
+                        (same, body) ->
+                                same.dispatch(
+                                        SameThreadExecutor.INSTANCE,
+                                        () -> {
+                                            if (receipt.end()) {
+                                                begin(same, request, body);
+                                            }
+                                        }),
+                        (same, failure) -> {
+                            if (!receipt.end()) {
+                                return;
+                            }
+                            if (failure instanceof Receiver.RequestToLargeException) {
+                                reject(same, 413, "the body is over 64 KiB");
+                            } else {
+                                counters.add(Name.MALFORMED);
+                                log.note(
+                                        id(same), What.MALFORMED, "its body broke off: " + failure);
+                                IoUtils.safeClose(same.getConnection());
+                            }
+                        });
     }
 
     /**
-     * A body that is coming in. What is not whole when its client is about to stop waiting is turned away:
-     * its room must not be held for ever.
+     * A body that is coming in. What is not whole when its client is about to stop waiting is
+     * turned away: its room must not be held for ever.
      */
     private final class Receipt {
         private final HttpServerExchange exchange;
@@ -461,8 +540,12 @@
             client.receiving = 2 * (int) (whole ? 0 : told >= 0 ? told : MOST_BODY);
             receiving += client.receiving;
             Instant most = client.since.plus(RECEIVE_LIMIT);
-            limit = whole ? () -> true
-                    : loop.after(Time.until(most.isBefore(until) ? most : until), this::turnAway);
+            limit =
+                    whole
+                            ? () -> true
+                            : loop.after(
+                                    Time.until(most.isBefore(until) ? most : until),
+                                    this::turnAway);
         }
 
         /** Ends it; false where it has ended before. */
@@ -480,7 +563,10 @@
         void turnAway() {
             if (end()) {
                 counters.add(Name.REFUSED_NO_ROOM);
-                log.note(id(exchange), What.REFUSED, "no room for its body, or it did not come in time");
+                log.note(
+                        id(exchange),
+                        What.REFUSED,
+                        "no room for its body, or it did not come in time");
                 answer(exchange, 503, new byte[0]);
             }
         }
@@ -491,14 +577,22 @@
             gone(exchange);
             return;
         }
-        String target = exchange.getQueryString().isEmpty() ? exchange.getRequestURI()
-                : exchange.getRequestURI() + "?" + exchange.getQueryString();
+        String target =
+                exchange.getQueryString().isEmpty()
+                        ? exchange.getRequestURI()
+                        : exchange.getRequestURI() + "?" + exchange.getQueryString();
         HeaderMap headers = exchange.getRequestHeaders();
         Optional<String> key = Optional.ofNullable(headers.getFirst(RequestParser.KEY));
-        HttpWork work = new HttpWork(exchange.getRequestMethod().toString(), target,
-                headers.getFirst(RequestParser.TRACE_ID), key, body);
+        HttpWork work =
+                new HttpWork(
+                        exchange.getRequestMethod().toString(),
+                        target,
+                        headers.getFirst(RequestParser.TRACE_ID),
+                        key,
+                        body);
         Answer answer = new Answer(exchange);
-        RequestLife<HttpWork> life = new RequestLife<>(engine, counters, request, work, answer, link);
+        RequestLife<HttpWork> life =
+                new RequestLife<>(engine, counters, request, work, answer, link);
         ClientConnection client = client(exchange);
         if (body.length > budget.bodyBytes() - holding) {
             counters.add(Name.REFUSED_NO_ROOM);
@@ -517,12 +611,16 @@
     /** Reads on while the request is open, so that a client that goes away is noticed. */
     private void watchForEnd(HttpServerExchange exchange, RequestLife<HttpWork> life) {
         HttpServerConnection connection = (HttpServerConnection) exchange.getConnection();
-        connection.getChannel().getSourceChannel().setReadListener(source -> {
-            if (hasLeft(exchange)) {
-                life.clientGone();
-                gone(exchange);
-            }
-        });
+        connection
+                .getChannel()
+                .getSourceChannel()
+                .setReadListener(
+                        source -> {
+                            if (hasLeft(exchange)) {
+                                life.clientGone();
+                                gone(exchange);
+                            }
+                        });
         connection.getOriginalSourceConduit().resumeReads();
     }
 
@@ -533,7 +631,10 @@
         left(client(exchange));
     }
 
-    /** Reads all that is here, keeps it for the next requests, and tells whether the client has left. */
+    /**
+     * Reads all that is here, keeps it for the next requests, and tells whether the client has
+     * left.
+     */
     private boolean hasLeft(HttpServerExchange exchange) {
         HttpServerConnection connection = (HttpServerConnection) exchange.getConnection();
         ClientConnection client = client(exchange);
@@ -552,19 +653,22 @@
             }
             keepPipelined(connection, client, fresh);
         }
-        connection.getOriginalSourceConduit().suspendReads(); // a client that sends so much is still there
+        connection
+                .getOriginalSourceConduit()
+                .suspendReads(); // a client that sends so much is still there
         return false;
     }
 
-    private void keepPipelined(HttpServerConnection connection, ClientConnection client,
-            PooledByteBuffer fresh) {
+    private void keepPipelined(
+            HttpServerConnection connection, ClientConnection client, PooledByteBuffer fresh) {
         fresh.getBuffer().flip();
         PooledByteBuffer held = connection.getExtraBytes();
         if (held == null) {
             connection.setExtraBytes(fresh);
         } else { // an unget would put the new bytes in front
             ByteBuffer first = held.getBuffer();
-            ByteBuffer both = ByteBuffer.allocate(first.remaining() + fresh.getBuffer().remaining());
+            ByteBuffer both =
+                    ByteBuffer.allocate(first.remaining() + fresh.getBuffer().remaining());
             both.put(first).put(fresh.getBuffer()).flip();
             held.close();
             fresh.close();
@@ -615,13 +719,18 @@
             left(client);
             return;
         }
-        if (body.length > budget.answerBytes() - answering) { // clients that do not read hold too much
-            log.note(id(exchange), What.FAILED, "no room for its answer of " + body.length + " bytes");
+        if (body.length
+                > budget.answerBytes() - answering) { // clients that do not read hold too much
+            log.note(
+                    id(exchange),
+                    What.FAILED,
+                    "no room for its answer of " + body.length + " bytes");
             answer(exchange, 502, new byte[0]);
             return;
         }
         hold(client, 0);
-        client.answered |= client.open; // whoever only looks at the health makes way as the silent do
+        client.answered |=
+                client.open; // whoever only looks at the health makes way as the silent do
         client.open = false;
         client.since = Time.now();
         if (!exchange.isRequestComplete()) {
@@ -636,44 +745,57 @@
         client.answering = body.length;
         answering += body.length;
         client.writing = true;
-        exchange.addExchangeCompleteListener((done, next) -> {
-            answered(client);
-            client.since = Time.now();
-            client.writing = false;
-            client.coming = client.pipelined > 0; // the next request, or a part of it
-            countPipelined(client, 0);
-            next.proceed();
-        });
+        exchange.addExchangeCompleteListener(
+                (done, next) -> {
+                    answered(client);
+                    client.since = Time.now();
+                    client.writing = false;
+                    client.coming = client.pipelined > 0; // the next request, or a part of it
+                    countPipelined(client, 0);
+                    next.proceed();
+                });
         send(exchange, ByteBuffer.wrap(body));
     }
 
     /**
-     * Sends a body part by part. Guards against a write of all that is left, which copies it whole into a
-     * buffer outside the heap each time, whatever the socket takes.
+     * Sends a body part by part. Guards against a write of all that is left, which copies it whole
+     * into a buffer outside the heap each time, whatever the socket takes.
      */
     private static void send(HttpServerExchange exchange, ByteBuffer left) {
         int size = Math.min(left.remaining(), PART);
         ByteBuffer part = left.slice(left.position(), size);
         left.position(left.position() + size);
-        exchange.getResponseSender().send(part, !left.hasRemaining() ? IoCallback.END_EXCHANGE
-                : new DefaultIoCallback() {
-                    @Override
-                    public void onComplete(HttpServerExchange same, Sender sender) {
-                        send(same, left);
-                    }
-                });
+        exchange.getResponseSender()
+                .send(
+                        part,
+                        !left.hasRemaining()
+                                ? IoCallback.END_EXCHANGE
+                                : new DefaultIoCallback() {
+                                    @Override
+                                    public void onComplete(HttpServerExchange same, Sender sender) {
+                                        send(same, left);
+                                    }
+                                });
     }
 
     /**
-     * Answers a request whose body is not all read, and ends its connection. Guards against reading 60 MB, or
-     * waiting for what never comes, before the answer can be whole.
+     * Answers a request whose body is not all read, and ends its connection. Guards against reading
+     * 60 MB, or waiting for what never comes, before the answer can be whole.
      */
-    private void answerUnread(HttpServerConnection connection, ClientConnection client, int status) {
+    private void answerUnread(
+            HttpServerConnection connection, ClientConnection client, int status) {
         client.answered = true;
         try {
-            connection.getOriginalSinkConduit().write(ByteBuffer.wrap(("HTTP/1.1 " + status + " "
-                    + StatusCodes.getReason(status) + "\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
-                    .getBytes(StandardCharsets.US_ASCII)));
+            connection
+                    .getOriginalSinkConduit()
+                    .write(
+                            ByteBuffer.wrap(
+                                    ("HTTP/1.1 "
+                                                    + status
+                                                    + " "
+                                                    + StatusCodes.getReason(status)
+                                                    + "\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+                                            .getBytes(StandardCharsets.US_ASCII)));
             closeInOrder(client);
         } catch (IOException gone) {
             close(client);
@@ -705,14 +827,18 @@
 
         @Override
         public void refused(Duration retryAfter) {
-            loop.execute(() -> {
-                ids.release(id());
-                if (!retryAfter.isZero()) {
-                    exchange.getResponseHeaders().put(Headers.RETRY_AFTER,
-                            BigDecimal.valueOf(retryAfter.toMillis(), 3).toPlainString());
-                }
-                answer(exchange, 503, new byte[0]);
-            });
+            loop.execute(
+                    () -> {
+                        ids.release(id());
+                        if (!retryAfter.isZero()) {
+                            exchange.getResponseHeaders()
+                                    .put(
+                                            Headers.RETRY_AFTER,
+                                            BigDecimal.valueOf(retryAfter.toMillis(), 3)
+                                                    .toPlainString());
+                        }
+                        answer(exchange, 503, new byte[0]);
+                    });
         }
 
         @Override
--- a/src/main/java/cypressglade/http/DiscoveryWatch.java
+++ b/src/main/java/cypressglade/http/DiscoveryWatch.java
@@ -17,9 +17,9 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Watches discovery and hands on what it tells; connects again with the last version after any break. Each
- * step of a watch has a limit, so that what a dead one misses is here before it counts as told: the design
- * has the arithmetic, {@link Limits} the figures.
+ * Watches discovery and hands on what it tells; connects again with the last version after any
+ * break. Each step of a watch has a limit, so that what a dead one misses is here before it counts
+ * as told: the design has the arithmetic, {@link Limits} the figures.
  */
 public final class DiscoveryWatch {
     private static final System.Logger LOG = System.getLogger(DiscoveryWatch.class.getName());
@@ -41,22 +41,34 @@
      * How long each step of a watch may take.
      *
      * @param connect until its connection is up
-     * @param answer until the first object of the answer, for the first call after one that was answered
-     * @param mostAnswer the same at the most: it doubles with each call that was not answered, as a discovery
-     *     that works through calls one after the other would never come to the end of those that are given up
+     * @param answer until the first object of the answer, for the first call after one that was
+     *     answered
+     * @param mostAnswer the same at the most: it doubles with each call that was not answered, as a
+     *     discovery that works through calls one after the other would never come to the end of
+     *     those that are given up
      * @param silence between two signs of life, of which one comes every 2 s
      * @param again from a break to the next connection
      */
-    record Limits(Duration connect, Duration answer, Duration mostAnswer, Duration silence, Duration again) {
+    record Limits(
+            Duration connect,
+            Duration answer,
+            Duration mostAnswer,
+            Duration silence,
+            Duration again) {
         private static final Duration CONNECT = Duration.ofMillis(500);
         private static final Duration SILENCE = Duration.ofSeconds(3);
         private static final Duration AGAIN = Duration.ofMillis(200);
-        /** An agent on this machine answers at once; once discovery is back, it may be a new call only. */
-        static final Limits PUSHED = new Limits(CONNECT, Duration.ofSeconds(1), Duration.ofSeconds(1),
-                SILENCE, AGAIN);
+
+        /**
+         * An agent on this machine answers at once; once discovery is back, it may be a new call
+         * only.
+         */
+        static final Limits PUSHED =
+                new Limits(CONNECT, Duration.ofSeconds(1), Duration.ofSeconds(1), SILENCE, AGAIN);
+
         /** One discovery for all. */
-        static final Limits ASKED = new Limits(CONNECT, Duration.ofSeconds(2), Duration.ofSeconds(4), SILENCE,
-                AGAIN);
+        static final Limits ASKED =
+                new Limits(CONNECT, Duration.ofSeconds(2), Duration.ofSeconds(4), SILENCE, AGAIN);
 
         /** From the last sign of life of a watch that falls silent until the next call is made. */
         Duration found() {
@@ -74,9 +86,18 @@
         }
     }
 
-    /** One that begins with {@link #start}; {@code asked} where lists are not pushed to an agent here. */
-    public DiscoveryWatch(Loop loop, InetSocketAddress address, NodeListParser lists, NodeDirectory directory,
-            Consumer<NodeList> told, Counters counters, boolean asked) {
+    /**
+     * One that begins with {@link #start}; {@code asked} where lists are not pushed to an agent
+     * here.
+     */
+    public DiscoveryWatch(
+            Loop loop,
+            InetSocketAddress address,
+            NodeListParser lists,
+            NodeDirectory directory,
+            Consumer<NodeList> told,
+            Counters counters,
+            boolean asked) {
         this.loop = loop;
         this.address = address;
         this.lists = lists;
@@ -91,30 +112,32 @@
     }
 
     /**
-     * Waits for the first list, whatever is in it; false where none came in time, as while discovery is down.
+     * Waits for the first list, whatever is in it; false where none came in time, as while
+     * discovery is down.
      */
     public boolean awaitFirst(Duration most) throws InterruptedException {
         return answered.await(most.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Takes a new address at once: the old one ends its watches soon, and what the new one has counts as
-     * told.
-     * Versions of another source need not go on from ours, so its list is asked for whole.
+     * Takes a new address at once: the old one ends its watches soon, and what the new one has
+     * counts as told. Versions of another source need not go on from ours, so its list is asked for
+     * whole.
      */
     public void use(InetSocketAddress next, NodeListParser nextLists) {
-        loop.execute(() -> {
-            lists = nextLists;
-            if (!next.equals(address)) {
-                address = next;
-                fromTheStart = true;
-                unanswered = 0;
-                if (current != null) {
-                    current.drop();
-                }
-                open();
-            }
-        });
+        loop.execute(
+                () -> {
+                    lists = nextLists;
+                    if (!next.equals(address)) {
+                        address = next;
+                        fromTheStart = true;
+                        unanswered = 0;
+                        if (current != null) {
+                            current.drop();
+                        }
+                        open();
+                    }
+                });
     }
 
     private void open() {
@@ -154,9 +177,11 @@
             wire.listen(this);
             expect(limits.answerAfter(unanswered), "not answered");
             unanswered++;
-            wire.send(ResponseParser.ascii("GET /v1/servers?stream=1&index="
-                    + (fromTheStart ? 0 : directory.version())
-                    + " HTTP/1.1\r\nHost: discovery\r\n\r\n"));
+            wire.send(
+                    ResponseParser.ascii(
+                            "GET /v1/servers?stream=1&index="
+                                    + (fromTheStart ? 0 : directory.version())
+                                    + " HTTP/1.1\r\nHost: discovery\r\n\r\n"));
         }
 
         @Override
@@ -226,7 +251,8 @@
             if (current == this) {
                 drop();
                 counters.add(Counters.Name.WATCH_BROKEN);
-                if (!why.equals(logged)) { // an outage is told once, however often it is tried again
+                if (!why.equals(
+                        logged)) { // an outage is told once, however often it is tried again
                     logged = why;
                     LOG.log(System.Logger.Level.INFO, "discovery watch: {0}", why);
                 }
--- a/src/main/java/cypressglade/http/JsonFraming.java
+++ b/src/main/java/cypressglade/http/JsonFraming.java
@@ -5,8 +5,9 @@
 import java.nio.ByteBuffer;
 
 /**
- * Cuts a stream into the JSON objects that it holds, one after the other, wherever its bytes were split and
- * over however many lines an object comes. Only where one ends is found here; its reader knows what it says.
+ * Cuts a stream into the JSON objects that it holds, one after the other, wherever its bytes were
+ * split and over however many lines an object comes. Only where one ends is found here; its reader
+ * knows what it says.
  */
 final class JsonFraming {
     private static final int MOST_OBJECT = 1 << 20;
@@ -64,7 +65,8 @@
         }
         object.write(next);
         if (inString) {
-            // An object that is cut short must not swallow those behind it: no string holds a line's end.
+            // An object that is cut short must not swallow those behind it: no string holds a
+            // line's end.
             if (next >= 0 && next < FIRST_TEXT_BYTE) {
                 throw new IOException("a control character in a string");
             }
@@ -75,7 +77,7 @@
                 case '"' -> inString = true;
                 case '{', '[' -> depth++;
                 case '}', ']' -> depth--;
-                default -> { }
+                default -> {}
             }
             if (depth == 0) {
                 byte[] whole = object.toByteArray();
--- a/src/main/java/cypressglade/http/LingeringClose.java
+++ b/src/main/java/cypressglade/http/LingeringClose.java
@@ -11,9 +11,10 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * The sending side ends first, what still comes is read and dropped, and the connection is closed when the
- * client has ended its side too, or a little later. A close over unread bytes would reset the connection, and
- * an answer that its client has not read yet would go with it. On the I/O thread.
+ * The sending side ends first, what still comes is read and dropped, and the connection is closed
+ * when the client has ended its side too, or a little later. A close over unread bytes would reset
+ * the connection, and an answer that its client has not read yet would go with it. On the I/O
+ * thread.
  */
 final class LingeringClose {
     private static final Duration MOST = Duration.ofMillis(500);
--- a/src/main/java/cypressglade/http/LoadReport.java
+++ b/src/main/java/cypressglade/http/LoadReport.java
@@ -7,19 +7,20 @@
 import java.util.regex.Pattern;
 
 /**
- * What a node's answer tells beside itself, as it came: {@code Volume-Load} (the volume's use through all
- * schedulers in the last finished second, in percent of its plan's rate, less 1 than the simulator's figure),
- * {@code Other-Hosts} (units that the shard served for the volume through other schedulers since its last
- * answer here) and {@code Endpoint-Load-Metrics} ({@code TEXT name=value, ...}). Each is "" where it was not
- * there.
+ * What a node's answer tells beside itself, as it came: {@code Volume-Load} (the volume's use
+ * through all schedulers in the last finished second, in percent of its plan's rate, less 1 than
+ * the simulator's figure), {@code Other-Hosts} (units that the shard served for the volume through
+ * other schedulers since its last answer here) and {@code Endpoint-Load-Metrics} ({@code TEXT
+ * name=value, ...}). Each is "" where it was not there.
  *
- * <p>A figure that cannot be read is taken as not told, and the rest of the answer counts: spoilt reports
- * come from nodes whose answers are good. A load report counts only whole, with every name that the settings
- * give, as the module takes what it has as the node's state.
+ * <p>A figure that cannot be read is taken as not told, and the rest of the answer counts: spoilt
+ * reports come from nodes whose answers are good. A load report counts only whole, with every name
+ * that the settings give, as the module takes what it has as the node's state.
  */
 record LoadReport(String volumeLoad, String otherHosts, String metrics) {
     /** The wire's figures hold 16 bits. */
     private static final int MOST = 0xFFFF;
+
     private static final String TEXT = "TEXT";
     private static final Pattern DECIMAL = Pattern.compile("-?[0-9]{1,12}(\\.[0-9]{1,9})?");
 
@@ -28,7 +29,8 @@
         double use = figure(volumeLoad);
         int used = Double.isNaN(use) || use < 0 ? 0 : (int) Math.min(MOST, Math.round(use) + 1);
         double others = figure(otherHosts);
-        int byOthers = Double.isNaN(others) || others < 0 ? 0 : (int) Math.min(MOST, Math.round(others));
+        int byOthers =
+                Double.isNaN(others) || others < 0 ? 0 : (int) Math.min(MOST, Math.round(others));
         return new Told(used, byOthers, load(names));
     }
 
@@ -43,7 +45,8 @@
         int told = 0;
         for (String pair : text.substring(TEXT.length()).split(",")) {
             int equals = pair.indexOf('=');
-            String name = equals < 0 ? "" : pair.substring(0, equals).trim().toLowerCase(Locale.ROOT);
+            String name =
+                    equals < 0 ? "" : pair.substring(0, equals).trim().toLowerCase(Locale.ROOT);
             int at = name.isEmpty() ? -1 : lower.indexOf(name);
             double value = at < 0 ? Double.NaN : figure(pair.substring(equals + 1));
             if (!Double.isNaN(value) && Float.isNaN(load[at])) {
--- a/src/main/java/cypressglade/http/NodeClient.java
+++ b/src/main/java/cypressglade/http/NodeClient.java
@@ -20,10 +20,11 @@
 /** The platform's storage nodes: HTTP/1.1. */
 public final class NodeClient implements NodeLink<HttpWork> {
     /**
-     * Answers of some 400 KB were seen where the protocol speaks of 64 KiB: such an answer is a good one.
-     * Beyond this it is none, and all that are coming in together stay within the budget.
+     * Answers of some 400 KB were seen where the protocol speaks of 64 KiB: such an answer is a
+     * good one. Beyond this it is none, and all that are coming in together stay within the budget.
      */
     private static final int MOST_BODY = 2 << 20;
+
     /** An answer is written at once: where its rest stays out for so long, it never comes. */
     private static final Duration MOST_SILENCE = Duration.ofMillis(200);
 
@@ -33,8 +34,8 @@
     private int coming;
 
     /**
-     * Nodes behind a pool, whose answers may take so much room while they come, and whose load reports
-     * name these figures ({@code Settings.loadNames}).
+     * Nodes behind a pool, whose answers may take so much room while they come, and whose load
+     * reports name these figures ({@code Settings.loadNames}).
      */
     public NodeClient(NodePool pool, int mostComing, List<String> loadNames) {
         this.pool = pool;
@@ -49,7 +50,11 @@
     }
 
     @Override
-    public Attempt send(long node, HttpWork work, Instant until, BooleanSupplier wanted,
+    public Attempt send(
+            long node,
+            HttpWork work,
+            Instant until,
+            BooleanSupplier wanted,
             Consumer<Ending> ended) {
         return new HttpExchange(node, work::message, until, wanted, ended).start();
     }
@@ -65,8 +70,12 @@
         private final Body body = new Body();
         private final ResponseParser parser = new ResponseParser(this::take, MOST_BODY);
 
-        HttpExchange(long node, Function<Duration, List<ByteBuffer>> message, Instant until,
-                BooleanSupplier wanted, Consumer<Ending> ended) {
+        HttpExchange(
+                long node,
+                Function<Duration, List<ByteBuffer>> message,
+                Instant until,
+                BooleanSupplier wanted,
+                Consumer<Ending> ended) {
             pool.super(node, until, wanted, ended);
             this.message = message;
         }
--- a/src/main/java/cypressglade/http/RequestParser.java
+++ b/src/main/java/cypressglade/http/RequestParser.java
@@ -32,11 +32,14 @@
     private static final Pattern LENGTH = Pattern.compile("[0-9]{1,18}");
     private static final Pattern NAME = Pattern.compile("[-!#$%&'*+.^_`|~0-9A-Za-z]+");
     private static final Pattern TOKEN = Pattern.compile("[!-~]{1,128}");
+
     /**
-     * Kept back of the client's time, so that the answer's last byte comes before it runs out: so much at
-     * most, and no more than a part. Guards against clients of little patience losing half of it here.
+     * Kept back of the client's time, so that the answer's last byte comes before it runs out: so
+     * much at most, and no more than a part. Guards against clients of little patience losing half
+     * of it here.
      */
     private static final Duration MARGIN = Duration.ofMillis(30);
+
     private static final int MARGIN_PART = 8;
     private static final long MOST_MS = Duration.ofHours(1).toMillis();
 
@@ -63,14 +66,20 @@
         for (RequestClass type : settings.classes()) {
             classes.put(type.name(), classes.size());
         }
-        longestMs = settings.classes().stream().map(RequestClass::deadlineUs).map(Micros::span)
-                .mapToLong(Duration::toMillis).max().orElse(MOST_MS);
+        longestMs =
+                settings.classes().stream()
+                        .map(RequestClass::deadlineUs)
+                        .map(Micros::span)
+                        .mapToLong(Duration::toMillis)
+                        .max()
+                        .orElse(MOST_MS);
         for (Plan plan : settings.plans()) {
             plans.put(plan.name(), plans.size());
         }
     }
 
-    IoRequest parse(String method, String path, HeaderMap headers, Instant arrived) throws Rejected {
+    IoRequest parse(String method, String path, HeaderMap headers, Instant arrived)
+            throws Rejected {
         Matcher parts = PATH.matcher(path);
         if (!parts.matches() || !classes.containsKey(parts.group(1))) {
             throw new Rejected(404, "no such path");
@@ -92,9 +101,16 @@
         Map<String, Float> info = info(header(headers, IO_INFO));
         // No client holds a request open for longer than any class lets it.
         long left = Math.min(longestMs, whole(header(headers, EXPIRES)));
-        return new IoRequest(info.get("shard").intValue(), classes.get(parts.group(1)), plan,
-                info.get("hosts").intValue(), "1".equals(headers.getFirst(SECOND_TRY)), method.equals("PUT"),
-                hex(parts.group(2)), hex(parts.group(3)), info.get("units"),
+        return new IoRequest(
+                info.get("shard").intValue(),
+                classes.get(parts.group(1)),
+                plan,
+                info.get("hosts").intValue(),
+                "1".equals(headers.getFirst(SECOND_TRY)),
+                method.equals("PUT"),
+                hex(parts.group(2)),
+                hex(parts.group(3)),
+                info.get("units"),
                 arrived.plusMillis(left - Math.min(MARGIN.toMillis(), left / MARGIN_PART)),
                 token(headers.getFirst(KEY)));
     }
@@ -115,7 +131,11 @@
     private static void framing(String method, HeaderMap headers) throws Rejected {
         boolean chunked = headers.contains(Headers.TRANSFER_ENCODING);
         boolean told = headers.contains(Headers.CONTENT_LENGTH);
-        if (chunked && (told || !"chunked".equalsIgnoreCase(header(headers, Headers.TRANSFER_ENCODING)))
+        if (chunked
+                        && (told
+                                || !"chunked"
+                                        .equalsIgnoreCase(
+                                                header(headers, Headers.TRANSFER_ENCODING)))
                 || told && !LENGTH.matcher(header(headers, Headers.CONTENT_LENGTH)).matches()) {
             throw new Rejected(400, "the body's end is not plain");
         }
@@ -163,7 +183,10 @@
         } catch (NumberFormatException notANumber) {
             throw new Rejected(400, "IO-Info holds no number");
         }
-        if (info.size() != 3 || info.get("units") <= 0 || info.get("hosts") < 1 || info.get("shard") < -1) {
+        if (info.size() != 3
+                || info.get("units") <= 0
+                || info.get("hosts") < 1
+                || info.get("shard") < -1) {
             throw new Rejected(400, "IO-Info must tell units, shard and hosts");
         }
         return info;
--- a/src/main/java/cypressglade/http/ResponseParser.java
+++ b/src/main/java/cypressglade/http/ResponseParser.java
@@ -6,9 +6,9 @@
 import java.util.Locale;
 
 /**
- * Reads one HTTP/1.1 answer, split at any byte; hands on the body as it comes. It takes nothing on trust:
- * where an answer ends must be told plainly, and what cannot be read is found at its first wrong byte, since
- * nothing more may ever come on its connection.
+ * Reads one HTTP/1.1 answer, split at any byte; hands on the body as it comes. It takes nothing on
+ * trust: where an answer ends must be told plainly, and what cannot be read is found at its first
+ * wrong byte, since nothing more may ever come on its connection.
  */
 final class ResponseParser {
     private static final int MOST_HEAD = 16 * 1024;
@@ -21,7 +21,17 @@
         void accept(ByteBuffer part) throws IOException;
     }
 
-    private enum Part { STATUS, HEADERS, BODY, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS, TO_END, DONE }
+    private enum Part {
+        STATUS,
+        HEADERS,
+        BODY,
+        CHUNK_SIZE,
+        CHUNK,
+        CHUNK_END,
+        TRAILERS,
+        TO_END,
+        DONE
+    }
 
     private final Taker body;
     private final long mostBody;
@@ -35,7 +45,9 @@
     private boolean chunked;
     private boolean close;
     private boolean neverRan;
-    private String volumeLoad = "", otherHosts = "", metrics = ""; // what the answer tells beside itself
+    private String volumeLoad = "",
+            otherHosts = "",
+            metrics = ""; // what the answer tells beside itself
 
     /** A reader of an answer with a body of so many bytes at most. */
     ResponseParser(Taker body, long mostBody) {
@@ -43,7 +55,9 @@
         this.mostBody = mostBody;
     }
 
-    /** Takes what has come; true once the answer is whole. Bytes after its end stay in the buffer. */
+    /**
+     * Takes what has come; true once the answer is whole. Bytes after its end stay in the buffer.
+     */
     boolean feed(ByteBuffer in) throws IOException {
         while (part != Part.DONE && in.hasRemaining()) {
             switch (part) {
@@ -86,7 +100,8 @@
     }
 
     /**
-     * The heads {@code Volume-Load}, {@code Other-Hosts} and {@code Endpoint-Load-Metrics}, "" where absent.
+     * The heads {@code Volume-Load}, {@code Other-Hosts} and {@code Endpoint-Load-Metrics}, ""
+     * where absent.
      */
     LoadReport report() {
         return new LoadReport(volumeLoad, otherHosts, metrics);
@@ -116,7 +131,8 @@
             }
             if (next == '\n') {
                 int end = line.length();
-                String text = line.substring(0, end > 0 && line.charAt(end - 1) == '\r' ? end - 1 : end);
+                String text =
+                        line.substring(0, end > 0 && line.charAt(end - 1) == '\r' ? end - 1 : end);
                 line.setLength(0);
                 return text;
             }
@@ -198,7 +214,7 @@
             case "volume-load" -> volumeLoad = value;
             case "other-hosts" -> otherHosts = value;
             case "endpoint-load-metrics" -> metrics = value;
-            default -> { }
+            default -> {}
         }
     }
 
@@ -238,8 +254,10 @@
     }
 
     private static long number(String text, int radix) throws IOException {
-        if (text.isEmpty() || text.length() > MOST_DIGITS
-                || !text.chars().allMatch(sign -> sign < 128 && Character.digit(sign, radix) >= 0)) {
+        if (text.isEmpty()
+                || text.length() > MOST_DIGITS
+                || !text.chars()
+                        .allMatch(sign -> sign < 128 && Character.digit(sign, radix) >= 0)) {
             throw new IOException("not a length: " + text);
         }
         return Long.parseLong(text, radix);
--- a/src/main/java/cypressglade/http/TraceIds.java
+++ b/src/main/java/cypressglade/http/TraceIds.java
@@ -8,20 +8,21 @@
 import java.util.Map;
 
 /**
- * The ids of requests that are open or whose attempts may still run. Another request under one of them would
- * be a second copy at the node, whoever sends it. Bounded, and the I/O thread's alone.
+ * The ids of requests that are open or whose attempts may still run. Another request under one of
+ * them would be a second copy at the node, whoever sends it. Bounded, and the I/O thread's alone.
  */
 final class TraceIds {
     private static final int MOST = 8192;
+
     /** A node may begin a request until the time that it was told is over. */
     private static final Duration KEPT = Duration.ofMillis(500);
 
     private final Map<String, Instant> until = new LinkedHashMap<>();
 
     /**
-     * Notes an id until its request's time is over; false where it is known. Where there is no room the
-     * oldest makes way: with deadlines of 20 s, 400 requests a second fill the table, and none may be turned
-     * down for that.
+     * Notes an id until its request's time is over; false where it is known. Where there is no room
+     * the oldest makes way: with deadlines of 20 s, 400 requests a second fill the table, and none
+     * may be turned down for that.
      */
     boolean take(String id, Instant expiry) {
         if (until.putIfAbsent(id, expiry.plus(KEPT)) != null) {
--- a/src/main/java/cypressglade/http/WatchedSourceConduit.java
+++ b/src/main/java/cypressglade/http/WatchedSourceConduit.java
@@ -7,9 +7,10 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * What comes from a client: tells of bytes that are read, whoever reads them, and looks at what has come
- * without taking it. A timer may run before the events that came with it are heard of, by as long as the
- * process was held up: whoever is about to close a connection, or to act for its client, must look first.
+ * What comes from a client: tells of bytes that are read, whoever reads them, and looks at what has
+ * come without taking it. A timer may run before the events that came with it are heard of, by as
+ * long as the process was held up: whoever is about to close a connection, or to act for its
+ * client, must look first.
  */
 final class WatchedSourceConduit extends AbstractStreamSourceConduit<StreamSourceConduit> {
     private static final int MOST_AHEAD = 4 * 1024;
@@ -19,7 +20,11 @@
     private ByteBuffer ahead = ByteBuffer.allocate(0); // looked at, and not read yet
 
     /** What has come and was not read yet. */
-    enum Ahead { NOTHING, BYTES, END }
+    enum Ahead {
+        NOTHING,
+        BYTES,
+        END
+    }
 
     private WatchedSourceConduit(StreamConnection connection, Runnable heard) {
         super(connection.getSourceChannel().getConduit());
@@ -76,7 +81,9 @@
         return size;
     }
 
-    /** Calls the reader at once where something was looked at: the socket does not tell of it again. */
+    /**
+     * Calls the reader at once where something was looked at: the socket does not tell of it again.
+     */
     @Override
     public void resumeReads() {
         if (ahead.hasRemaining()) {
--- a/src/main/java/cypressglade/lab/FaultHub.java
+++ b/src/main/java/cypressglade/lab/FaultHub.java
@@ -23,16 +23,16 @@
 import java.util.function.Consumer;
 
 /**
- * The links between the members of a fleet of processes, on loopback: each member is known to the others by
- * an address of this hub, and whatever is sent there is passed on, or not, as {@link Faults} says of that
- * one-way link. Datagrams are lost, late, doubled and put out of turn one by one; on TCP, which would send
- * again, only cuts and delays show: while either way is cut nothing moves, and a new connection hangs, as on
- * a lost link.
+ * The links between the members of a fleet of processes, on loopback: each member is known to the
+ * others by an address of this hub, and whatever is sent there is passed on, or not, as {@link
+ * Faults} says of that one-way link. Datagrams are lost, late, doubled and put out of turn one by
+ * one; on TCP, which would send again, only cuts and delays show: while either way is cut nothing
+ * moves, and a new connection hangs, as on a lost link.
  *
- * <p>Member {@code n} has to send from {@link #host}, which tells the hub who sends; its port is learned from
- * its first datagram. A passed-on datagram comes from the hub's address of its sender, so that answers come
- * back through the hub. One thread; bounded by {@value #MOST_LATE} datagrams on their way and 64 KiB a
- * connection and way.
+ * <p>Member {@code n} has to send from {@link #host}, which tells the hub who sends; its port is
+ * learned from its first datagram. A passed-on datagram comes from the hub's address of its sender,
+ * so that answers come back through the hub. One thread; bounded by {@value #MOST_LATE} datagrams
+ * on their way and 64 KiB a connection and way.
  */
 public final class FaultHub implements AutoCloseable {
     private static final System.Logger LOG = System.getLogger(FaultHub.class.getName());
@@ -47,8 +47,9 @@
     private final List<Door> doors = new ArrayList<>();
     private final Set<Pipe> pipes = new HashSet<>();
     private final Faults faults;
-    private final PriorityQueue<Late> late = new PriorityQueue<>(
-            Comparator.comparingLong(Late::atNanos).thenComparingLong(Late::number));
+    private final PriorityQueue<Late> late =
+            new PriorityQueue<>(
+                    Comparator.comparingLong(Late::atNanos).thenComparingLong(Late::number));
     private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final ByteBuffer buffer = ByteBuffer.allocate(MOST_DATAGRAM);
     private final Thread thread = new Thread(this::run, "fault hub");
@@ -56,7 +57,7 @@
     private long lastNumber;
 
     /** A datagram on its way. */
-    private record Late(long atNanos, long number, int from, int to, byte[] bytes) { }
+    private record Late(long atNanos, long number, int from, int to, byte[] bytes) {}
 
     /** The hub's address of one member. */
     private static final class Door {
@@ -66,7 +67,8 @@
         private volatile InetSocketAddress real;
         private volatile long sent;
 
-        private Door(DatagramChannel datagrams, ServerSocketChannel connections) throws IOException {
+        private Door(DatagramChannel datagrams, ServerSocketChannel connections)
+                throws IOException {
             this.datagrams = datagrams;
             this.connections = connections;
             address = (InetSocketAddress) connections.getLocalAddress();
@@ -78,7 +80,8 @@
         private final int asker;
         private final int asked;
         private final SocketChannel[] ends;
-        private final List<ArrayDeque<Chunk>> held = List.of(new ArrayDeque<>(), new ArrayDeque<>());
+        private final List<ArrayDeque<Chunk>> held =
+                List.of(new ArrayDeque<>(), new ArrayDeque<>());
         private final int[] bytes = new int[2];
         private final boolean[] ended = new boolean[2];
 
@@ -89,7 +92,7 @@
         }
     }
 
-    private record Chunk(long atNanos, ByteBuffer bytes) { }
+    private record Chunk(long atNanos, ByteBuffer bytes) {}
 
     /**
      * Opens an address for each of so many members.
@@ -107,7 +110,10 @@
 
     /** Where member {@code n} has to send from: an address of loopback of its own. */
     public static String host(int member) {
-        return "127.0." + (1 + (FIRST_HOST + member) / 250) + "." + (1 + (FIRST_HOST + member) % 250);
+        return "127.0."
+                + (1 + (FIRST_HOST + member) / 250)
+                + "."
+                + (1 + (FIRST_HOST + member) % 250);
     }
 
     /** Where the others reach a member. */
@@ -127,7 +133,7 @@
     }
 
     private Door open() throws IOException {
-        for (int tries = 1;; tries++) {
+        for (int tries = 1; ; tries++) {
             ServerSocketChannel connections = ServerSocketChannel.open();
             DatagramChannel datagrams = DatagramChannel.open();
             try {
@@ -176,13 +182,21 @@
         }
     }
 
-    /** Until the next datagram is due; with connections open, a moment, as these are looked at in turn. */
+    /**
+     * Until the next datagram is due; with connections open, a moment, as these are looked at in
+     * turn.
+     */
     private long pause() {
         if (!pipes.isEmpty()) {
             return 1;
         }
-        return late.isEmpty() ? LOOK_MS
-                : Math.max(1, Math.min(LOOK_MS, (late.peek().atNanos - System.nanoTime()) / 1_000_000 + 1));
+        return late.isEmpty()
+                ? LOOK_MS
+                : Math.max(
+                        1,
+                        Math.min(
+                                LOOK_MS,
+                                (late.peek().atNanos - System.nanoTime()) / 1_000_000 + 1));
     }
 
     private int sender(InetAddress from) {
@@ -211,7 +225,13 @@
             buffer.get(bytes);
             for (Duration arrival : faults.fate(from, to)) {
                 if (late.size() < MOST_LATE) {
-                    late.add(new Late(System.nanoTime() + arrival.toNanos(), ++lastNumber, from, to, bytes));
+                    late.add(
+                            new Late(
+                                    System.nanoTime() + arrival.toNanos(),
+                                    ++lastNumber,
+                                    from,
+                                    to,
+                                    bytes));
                 }
             }
         }
@@ -262,7 +282,8 @@
             }
             move(pipe, 0, out.most());
             move(pipe, 1, back.most());
-            if (pipe.ended[0] && pipe.held.get(0).isEmpty() || pipe.ended[1] && pipe.held.get(1).isEmpty()) {
+            if (pipe.ended[0] && pipe.held.get(0).isEmpty()
+                    || pipe.ended[1] && pipe.held.get(1).isEmpty()) {
                 close(pipe);
             }
         } catch (IOException broken) {
--- a/src/main/java/cypressglade/lab/FaultScript.java
+++ b/src/main/java/cypressglade/lab/FaultScript.java
@@ -10,8 +10,8 @@
 import java.util.stream.Stream;
 
 /**
- * Steps with times, by which faults are put into a fleet. Each line is a time since the start, a verb and its
- * words; empty lines and those that begin with {@code #} are skipped:
+ * Steps with times, by which faults are put into a fleet. Each line is a time since the start, a
+ * verb and its words; empty lines and those that begin with {@code #} are skipped:
  *
  * <pre>
  * 0s     delay * * 1ms..20ms      of each datagram on these one-way links: FROM TO, * for all, or 0,1,4
@@ -30,8 +30,20 @@
 
     /** What a step does. */
     public enum Verb {
-        DELAY(3), LOSS(3), TWICE(3), OUT_OF_TURN(3), CUT(2), CUT_ONE_WAY(2), MEND(0),
-        KILL(1), STOP(1), START(1), STALL(1), RESUME(1), EXPECT_DEAD(2), EXPECT_ONE_VIEW(1);
+        DELAY(3),
+        LOSS(3),
+        TWICE(3),
+        OUT_OF_TURN(3),
+        CUT(2),
+        CUT_ONE_WAY(2),
+        MEND(0),
+        KILL(1),
+        STOP(1),
+        START(1),
+        STALL(1),
+        RESUME(1),
+        EXPECT_DEAD(2),
+        EXPECT_ONE_VIEW(1);
 
         private final int words;
 
@@ -54,8 +66,14 @@
      * @param share of datagrams, 0 to 1
      * @param least of a delay; the time within which something is expected
      */
-    public record Step(Duration at, Verb verb, List<Integer> from, List<Integer> to, double share,
-            Duration least, Duration most) { }
+    public record Step(
+            Duration at,
+            Verb verb,
+            List<Integer> from,
+            List<Integer> to,
+            double share,
+            Duration least,
+            Duration most) {}
 
     /** A script that cannot be used; the message names line and remedy. */
     public static final class Unusable extends Exception {
@@ -95,29 +113,66 @@
 
     private static Step step(String[] words, int members) {
         Duration at = time(words[0]);
-        Verb verb = Stream.of(Verb.values()).filter(one -> words.length > 1 && one.text().equals(words[1]))
-                .findFirst().orElseThrow(() -> new IllegalArgumentException(
-                        "a line is TIME VERB ..., VERB one of "
-                                + String.join(" ", Stream.of(Verb.values()).map(Verb::text).toList())));
+        Verb verb =
+                Stream.of(Verb.values())
+                        .filter(one -> words.length > 1 && one.text().equals(words[1]))
+                        .findFirst()
+                        .orElseThrow(
+                                () ->
+                                        new IllegalArgumentException(
+                                                "a line is TIME VERB ..., VERB one of "
+                                                        + String.join(
+                                                                " ",
+                                                                Stream.of(Verb.values())
+                                                                        .map(Verb::text)
+                                                                        .toList())));
         if (words.length != verb.words + 2) {
-            throw new IllegalArgumentException(verb.text() + " takes " + verb.words + " words, not "
-                    + (words.length - 2));
+            throw new IllegalArgumentException(
+                    verb.text() + " takes " + verb.words + " words, not " + (words.length - 2));
         }
         List<Integer> all = IntStream.range(0, members).boxed().toList();
         return switch (verb) {
             case DELAY -> {
                 String[] span = words[4].split("\\.\\.", 2);
-                yield new Step(at, verb, who(words[2], members), who(words[3], members), 0, time(span[0]),
+                yield new Step(
+                        at,
+                        verb,
+                        who(words[2], members),
+                        who(words[3], members),
+                        0,
+                        time(span[0]),
                         time(span[span.length - 1]));
             }
-            case LOSS, TWICE, OUT_OF_TURN -> new Step(at, verb, who(words[2], members),
-                    who(words[3], members), share(words[4]), Duration.ZERO, Duration.ZERO);
-            case CUT, CUT_ONE_WAY -> new Step(at, verb, who(words[2], members), who(words[3], members), 0,
-                    Duration.ZERO, Duration.ZERO);
-            case KILL, STOP, START, STALL, RESUME -> new Step(at, verb, who(words[2], members), all, 0,
-                    Duration.ZERO, Duration.ZERO);
-            case EXPECT_DEAD -> new Step(at, verb, who(words[2], members), all, 0, time(words[3]),
-                    Duration.ZERO);
+            case LOSS, TWICE, OUT_OF_TURN ->
+                    new Step(
+                            at,
+                            verb,
+                            who(words[2], members),
+                            who(words[3], members),
+                            share(words[4]),
+                            Duration.ZERO,
+                            Duration.ZERO);
+            case CUT, CUT_ONE_WAY ->
+                    new Step(
+                            at,
+                            verb,
+                            who(words[2], members),
+                            who(words[3], members),
+                            0,
+                            Duration.ZERO,
+                            Duration.ZERO);
+            case KILL, STOP, START, STALL, RESUME ->
+                    new Step(
+                            at, verb, who(words[2], members), all, 0, Duration.ZERO, Duration.ZERO);
+            case EXPECT_DEAD ->
+                    new Step(
+                            at,
+                            verb,
+                            who(words[2], members),
+                            all,
+                            0,
+                            time(words[3]),
+                            Duration.ZERO);
             case EXPECT_ONE_VIEW -> new Step(at, verb, all, all, 0, time(words[2]), Duration.ZERO);
             default -> new Step(at, verb, all, all, 0, Duration.ZERO, Duration.ZERO);
         };
@@ -127,18 +182,26 @@
         if (text.equals("*")) {
             return IntStream.range(0, members).boxed().toList();
         }
-        return Stream.of(text.split(",")).map(word -> {
-            if (!word.matches("[0-9]{1,4}") || Integer.parseInt(word) >= members) {
-                throw new IllegalArgumentException("'" + word + "' is no member: give numbers from 0 to "
-                        + (members - 1) + " with commas, or *");
-            }
-            return Integer.parseInt(word);
-        }).toList();
+        return Stream.of(text.split(","))
+                .map(
+                        word -> {
+                            if (!word.matches("[0-9]{1,4}") || Integer.parseInt(word) >= members) {
+                                throw new IllegalArgumentException(
+                                        "'"
+                                                + word
+                                                + "' is no member: give numbers from 0 to "
+                                                + (members - 1)
+                                                + " with commas, or *");
+                            }
+                            return Integer.parseInt(word);
+                        })
+                .toList();
     }
 
     private static double share(String text) {
         if (!text.matches("0|1|0?\\.[0-9]{1,6}|1\\.0|0\\.0")) {
-            throw new IllegalArgumentException("'" + text + "' is no share from 0 to 1, such as 0.1");
+            throw new IllegalArgumentException(
+                    "'" + text + "' is no share from 0 to 1, such as 0.1");
         }
         return Double.parseDouble(text);
     }
@@ -148,7 +211,8 @@
             throw new IllegalArgumentException("'" + text + "' is no time: give 250ms or 12s");
         }
         long number = Long.parseLong(text.replaceAll("[a-z]", ""));
-        Duration time = text.endsWith("ms") ? Duration.ofMillis(number) : Duration.ofSeconds(number);
+        Duration time =
+                text.endsWith("ms") ? Duration.ofMillis(number) : Duration.ofSeconds(number);
         if (time.compareTo(MOST) > 0) {
             throw new IllegalArgumentException("'" + text + "' is over an hour");
         }
@@ -164,10 +228,12 @@
                 link(step.to, step.from, faults, rule -> rule.cut(true));
             }
             case CUT_ONE_WAY -> link(step.from, step.to, faults, rule -> rule.cut(true));
-            case DELAY -> link(step.from, step.to, faults, rule -> rule.delay(step.least, step.most));
+            case DELAY ->
+                    link(step.from, step.to, faults, rule -> rule.delay(step.least, step.most));
             case LOSS -> link(step.from, step.to, faults, rule -> rule.loss(step.share));
             case TWICE -> link(step.from, step.to, faults, rule -> rule.twice(step.share));
-            case OUT_OF_TURN -> link(step.from, step.to, faults, rule -> rule.outOfTurn(step.share));
+            case OUT_OF_TURN ->
+                    link(step.from, step.to, faults, rule -> rule.outOfTurn(step.share));
             default -> {
                 return false;
             }
@@ -175,7 +241,10 @@
         return true;
     }
 
-    private static void link(List<Integer> from, List<Integer> to, Faults faults,
+    private static void link(
+            List<Integer> from,
+            List<Integer> to,
+            Faults faults,
             UnaryOperator<Faults.Rule> change) {
         for (int one : from) {
             for (int other : to) {
--- a/src/main/java/cypressglade/lab/Faults.java
+++ b/src/main/java/cypressglade/lab/Faults.java
@@ -8,10 +8,10 @@
 import java.util.Random;
 
 /**
- * What becomes of each datagram on each one-way link between numbered members: whether it is lost, how late
- * it comes, whether it comes twice or out of turn, and whether the link is cut. Chance comes from one seed,
- * drawn by link, so that what one link does to its messages does not hang on how busy the others are. No I/O;
- * not safe for use by several threads.
+ * What becomes of each datagram on each one-way link between numbered members: whether it is lost,
+ * how late it comes, whether it comes twice or out of turn, and whether the link is cut. Chance
+ * comes from one seed, drawn by link, so that what one link does to its messages does not hang on
+ * how busy the others are. No I/O; not safe for use by several threads.
  */
 public final class Faults {
     /** How far behind its turn a datagram comes that is put out of order. */
@@ -22,7 +22,7 @@
     private final Map<Link, Random> chances = new HashMap<>();
     private Rule otherwise = Rule.NONE;
 
-    private record Link(int from, int to) { }
+    private record Link(int from, int to) {}
 
     /**
      * What a link does.
@@ -32,7 +32,12 @@
      * @param outOfTurn share that is held back, so that later ones overtake it
      * @param least of the delay, drawn evenly up to {@code most}
      */
-    public record Rule(boolean cut, double loss, double twice, double outOfTurn, Duration least,
+    public record Rule(
+            boolean cut,
+            double loss,
+            double twice,
+            double outOfTurn,
+            Duration least,
             Duration most) {
         /** A link that does nothing to what it carries. */
         public static final Rule NONE = new Rule(false, 0, 0, 0, Duration.ZERO, Duration.ZERO);
@@ -86,8 +91,10 @@
     /** When one datagram arrives, from now: not at all, once, or twice. */
     public List<Duration> fate(int from, int to) {
         Rule rule = rule(from, to);
-        Random chance = chances.computeIfAbsent(new Link(from, to),
-                link -> new Random(seed * 1_000_003 + link.from * 1_009L + link.to));
+        Random chance =
+                chances.computeIfAbsent(
+                        new Link(from, to),
+                        link -> new Random(seed * 1_000_003 + link.from * 1_009L + link.to));
         List<Duration> arrivals = new ArrayList<>(2);
         if (rule.cut || chance.nextDouble() < rule.loss) {
             return arrivals;
@@ -102,6 +109,8 @@
 
     private static Duration delay(Rule rule, Random chance) {
         long spread = rule.most.minus(rule.least).toNanos();
-        return spread <= 0 ? rule.least : rule.least.plusNanos((long) (chance.nextDouble() * spread));
+        return spread <= 0
+                ? rule.least
+                : rule.least.plusNanos((long) (chance.nextDouble() * spread));
     }
 }
