--- a/src/main/java/cypressglade/lab/MemberLab.java
+++ b/src/main/java/cypressglade/lab/MemberLab.java
@@ -13,15 +13,16 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The fleet view's four figures, played in virtual time on {@link MemberNet} with the membership code that
- * runs in the program: how long from a crash until every live member holds it dead; from a healed split until
- * all hold one view; how many live members are taken for dead under loss with one member that stands still
- * now and then; and how many datagrams a member sends in a period. Each experiment starts its own fleet from
- * a seed.
+ * The fleet view's four figures, played in virtual time on {@link MemberNet} with the membership
+ * code that runs in the program: how long from a crash until every live member holds it dead; from
+ * a healed split until all hold one view; how many live members are taken for dead under loss with
+ * one member that stands still now and then; and how many datagrams a member sends in a period.
+ * Each experiment starts its own fleet from a seed.
  */
 public final class MemberLab {
     /** Longest that any experiment waits for what it measures. */
     private static final Duration MOST_WAIT = Duration.ofMinutes(10);
+
     private static final int SETTLE_PERIODS = 30;
 
     private final Timing timing;
@@ -30,7 +31,10 @@
         this.timing = timing;
     }
 
-    /** What one experiment found, in virtual time; -1 milliseconds where it did not come within the wait. */
+    /**
+     * What one experiment found, in virtual time; -1 milliseconds where it did not come within the
+     * wait.
+     */
     public record Result(long millis, long falseDead, long datagrams, double periods, int members) {
         /** Datagrams a member sent in a period. */
         public double perMemberPeriod() {
@@ -38,7 +42,10 @@
         }
     }
 
-    /** A settled fleet of {@code n} that knows itself whole, as after the first transfer from a seed. */
+    /**
+     * A settled fleet of {@code n} that knows itself whole, as after the first transfer from a
+     * seed.
+     */
     private MemberNet fleet(int n, long seed, double loss) {
         MemberNet net = new MemberNet(seed, timing);
         List<Swim> started = new ArrayList<>();
@@ -52,18 +59,46 @@
         return net;
     }
 
-    /** From a split into {@code side} members and the rest to both sides holding all of the other dead. */
+    /**
+     * From a split into {@code side} members and the rest to both sides holding all of the other
+     * dead.
+     */
     public Result split(int n, int side, long seed) {
         MemberNet net = fleet(n, seed, 0);
         Instant from = net.now;
         long before = net.sent;
         net.cut = (one, other) -> number(one) < side != number(other) < side;
-        long found = waitFor(net, () -> net.running.values().stream()
-                .allMatch(swim -> swim.present().stream().allMatch(
-                        member -> number(member.name()) < side == number(swim.self().name()) < side)), from);
-        return new Result(found, net.changes.stream().filter(change -> change.member().state() == State.DEAD
-                && number(change.seenBy()) < side == number(change.member().name()) < side).count(),
-                net.sent - before, periods(net, from), n);
+        long found =
+                waitFor(
+                        net,
+                        () ->
+                                net.running.values().stream()
+                                        .allMatch(
+                                                swim ->
+                                                        swim.present().stream()
+                                                                .allMatch(
+                                                                        member ->
+                                                                                number(
+                                                                                                        member
+                                                                                                                .name())
+                                                                                                < side
+                                                                                        == number(
+                                                                                                        swim.self()
+                                                                                                                .name())
+                                                                                                < side)),
+                        from);
+        return new Result(
+                found,
+                net.changes.stream()
+                        .filter(
+                                change ->
+                                        change.member().state() == State.DEAD
+                                                && number(change.seenBy()) < side
+                                                        == number(change.member().name()) < side)
+                        .count(),
+                net.sent - before,
+                periods(net, from),
+                n);
     }
 
     /** From the crash of one member to the last live member holding it dead. */
@@ -74,35 +109,59 @@
         Instant crashed = net.now;
         long before = net.sent;
         net.stop(victim);
-        long found = waitFor(net, () -> net.running.values().stream().allMatch(swim -> !present(swim, name)),
-                crashed);
-        return new Result(found, falseDead(net, crashed, Set.of(name)), net.sent - before,
-                periods(net, crashed), n);
+        long found =
+                waitFor(
+                        net,
+                        () -> net.running.values().stream().allMatch(swim -> !present(swim, name)),
+                        crashed);
+        return new Result(
+                found,
+                falseDead(net, crashed, Set.of(name)),
+                net.sent - before,
+                periods(net, crashed),
+                n);
     }
 
     /**
-     * A split into the first {@code side} members and the rest, both ways, for {@code split} and a part of
-     * the time between two knocks; from its heal until every member holds every other alive. Counted as
-     * falsely dead: who is taken for dead after that, in {@code SETTLE_PERIODS}.
+     * A split into the first {@code side} members and the rest, both ways, for {@code split} and a
+     * part of the time between two knocks; from its heal until every member holds every other
+     * alive. Counted as falsely dead: who is taken for dead after that, in {@code SETTLE_PERIODS}.
      */
     public Result heal(int n, int side, Duration split, long seed) {
         MemberNet net = fleet(n, seed, 0);
         net.cut = (from, to) -> number(from) < side != number(to) < side;
-        net.pass(split.plus(timing.reconnect().multipliedBy(Math.floorMod(seed * 37, 100)).dividedBy(100)));
+        net.pass(
+                split.plus(
+                        timing.reconnect()
+                                .multipliedBy(Math.floorMod(seed * 37, 100))
+                                .dividedBy(100)));
         net.cut = (from, to) -> false;
         Instant healed = net.now;
         long before = net.sent;
-        long settled = waitFor(net, () -> net.running.values().stream()
-                .allMatch(swim -> swim.list().stream().allMatch(member -> member.state() == State.ALIVE)),
-                healed);
+        long settled =
+                waitFor(
+                        net,
+                        () ->
+                                net.running.values().stream()
+                                        .allMatch(
+                                                swim ->
+                                                        swim.list().stream()
+                                                                .allMatch(
+                                                                        member ->
+                                                                                member.state()
+                                                                                        == State
+                                                                                                .ALIVE)),
+                        healed);
         Instant one = net.now;
         net.pass(timing.period().multipliedBy(SETTLE_PERIODS));
-        return new Result(settled, falseDead(net, one, Set.of()), net.sent - before, periods(net, healed), n);
+        return new Result(
+                settled, falseDead(net, one, Set.of()), net.sent - before, periods(net, healed), n);
     }
 
     /**
-     * Loss on every link for {@code span}, and member 1 standing still for {@code stall} in each 10 s: how
-     * many times a live member was taken for dead, by anyone, the one that stands still included.
+     * Loss on every link for {@code span}, and member 1 standing still for {@code stall} in each 10
+     * s: how many times a live member was taken for dead, by anyone, the one that stands still
+     * included.
      */
     public Result loss(int n, double loss, Duration span, Duration stall, long seed) {
         MemberNet net = fleet(n, seed, 0);
@@ -110,16 +169,19 @@
         Instant from = net.now;
         long before = net.sent;
         Duration cycle = Duration.ofSeconds(10);
-        for (Instant end = from.plus(span); net.now.isBefore(end);) {
+        for (Instant end = from.plus(span); net.now.isBefore(end); ) {
             net.stall(1);
             net.pass(stall);
             net.resume(1);
             net.pass(cycle.minus(stall));
         }
-        return new Result(0, falseDead(net, from, Set.of()), net.sent - before, periods(net, from), n);
+        return new Result(
+                0, falseDead(net, from, Set.of()), net.sent - before, periods(net, from), n);
     }
 
-    /** Steps of a tenth of a period until the condition holds; its time after {@code since}, or -1. */
+    /**
+     * Steps of a tenth of a period until the condition holds; its time after {@code since}, or -1.
+     */
     private long waitFor(MemberNet net, BooleanSupplier holds, Instant since) {
         Duration step = timing.period().dividedBy(10);
         while (!holds.getAsBoolean()) {
@@ -132,16 +194,27 @@
     }
 
     private static boolean present(Swim swim, String name) {
-        return swim.list().stream().anyMatch(member -> member.name().equals(name) && member.present());
+        return swim.list().stream()
+                .anyMatch(member -> member.name().equals(name) && member.present());
     }
 
-    /** Live members taken for dead since a time, by anyone; who is in {@code gone} was meant to be. */
+    /**
+     * Live members taken for dead since a time, by anyone; who is in {@code gone} was meant to be.
+     */
     private static long falseDead(MemberNet net, Instant since, Set<String> gone) {
         Set<String> seen = new HashSet<>();
-        return net.changes.stream().filter(change -> !change.at().isBefore(since)
-                && change.member().state() == State.DEAD && !gone.contains(change.member().name())
-                && seen.add(change.seenBy() + " " + change.member().name() + " "
-                        + change.member().incarnation()))
+        return net.changes.stream()
+                .filter(
+                        change ->
+                                !change.at().isBefore(since)
+                                        && change.member().state() == State.DEAD
+                                        && !gone.contains(change.member().name())
+                                        && seen.add(
+                                                change.seenBy()
+                                                        + " "
+                                                        + change.member().name()
+                                                        + " "
+                                                        + change.member().incarnation()))
                 .count();
     }
 
--- a/src/main/java/cypressglade/lab/MemberNet.java
+++ b/src/main/java/cypressglade/lab/MemberNet.java
@@ -20,48 +20,56 @@
 import java.util.function.ToIntFunction;
 
 /**
- * A network of membership instances ({@link Swim}) in virtual time, with losses, delays, cuts one way or
- * both, stalled members and restarts, and all chance from one seed. Names are {@code i-N}; all seek {@code
- * i-0} first. What an instance sends is counted, so that the cost of the protocol can be read by member and
- * period.
+ * A network of membership instances ({@link Swim}) in virtual time, with losses, delays, cuts one
+ * way or both, stalled members and restarts, and all chance from one seed. Names are {@code i-N};
+ * all seek {@code i-0} first. What an instance sends is counted, so that the cost of the protocol
+ * can be read by member and period.
  *
- * <p>A stalled member is a process that stands still (a pause, SIGSTOP): it neither ticks nor reads, and what
- * comes to it waits until it goes on, as in a socket's buffer.
+ * <p>A stalled member is a process that stands still (a pause, SIGSTOP): it neither ticks nor
+ * reads, and what comes to it waits until it goes on, as in a socket's buffer.
  */
 public final class MemberNet {
     /** Whole lists that one member asks for at a time, as in the program. */
     private static final int MOST_PULLS = 3;
+
     /** A connection, a nonce, a question and an answer: four ways of some 10 ms. */
     private static final Duration EXCHANGE = Duration.ofMillis(40);
 
     public Instant now = Instant.EPOCH;
     public double loss;
+
     /** Whether the first can reach the second, by name. */
     public BiPredicate<String, String> cut = (from, to) -> false;
+
     public ToIntFunction<Message> size = message -> 0;
     public long bytes;
+
     /** Datagrams sent, whether they arrive or not. */
     public long sent;
+
     /** Delay of a datagram, drawn evenly between these, in milliseconds. */
     public int leastDelayMs = 1;
+
     public int mostDelayMs = 20;
     private final Map<String, Integer> asking = new HashMap<>();
     private final Map<String, List<Runnable>> stalled = new LinkedHashMap<>();
     public final Map<String, Swim> running = new LinkedHashMap<>();
+
     /** Each change that any instance took in. */
     public final List<Change> changes = new ArrayList<>();
+
     private final Timing timing;
     private final Random random;
     private final Map<InetSocketAddress, String> names = new LinkedHashMap<>();
-    private final PriorityQueue<Event> events = new PriorityQueue<>(
-            Comparator.comparing(Event::at).thenComparing(Event::number));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(Comparator.comparing(Event::at).thenComparing(Event::number));
     private long lastEvent;
     private long lastLife;
 
-    private record Event(Instant at, long number, Runnable run) { }
+    private record Event(Instant at, long number, Runnable run) {}
 
     /** What one instance took in of a member. */
-    public record Change(Instant at, String seenBy, Member member) { }
+    public record Change(Instant at, String seenBy, Member member) {}
 
     public MemberNet(long seed, Timing timing) {
         random = new Random(seed);
@@ -77,61 +85,96 @@
         String name = "i-" + number;
         Member self = new Member(name, address(number), ++lastLife, 0, State.ALIVE);
         names.put(self.address(), name);
-        Swim swim = new Swim(self, List.of(address(0)), timing, random, new Swim.Out() {
-            @Override
-            public void send(InetSocketAddress to, Message message) {
-                bytes += size.applyAsInt(message);
-                sent++;
-                String there = names.get(to);
-                if (random.nextDouble() >= loss && !cut.test(name, there)) {
-                    int delay = leastDelayMs + random.nextInt(Math.max(1, mostDelayMs - leastDelayMs + 1));
-                    after(Duration.ofMillis(delay), () -> at(there, () -> {
-                        if (running.containsKey(there)) {
-                            running.get(there).receive(message, self.address(), now);
-                        }
-                    }));
-                }
-            }
-
-            @Override
-            public void exchange(InetSocketAddress with) {
-                String there = names.get(with);
-                if (asking.merge(name, 1, Integer::sum) > MOST_PULLS) {
-                    asking.merge(name, -1, Integer::sum);
-                    return; // as the program does: a list that comes from another soon has the same
-                }
-                after(EXCHANGE, () -> {
-                    asking.merge(name, -1, Integer::sum);
-                    Swim mine = running.get(name);
-                    Swim theirs = running.get(there);
-                    if (mine != null && theirs != null && !cut.test(name, there) && !cut.test(there, name)
-                            && !stalled.containsKey(name) && !stalled.containsKey(there)) {
-                        List<Member> list = mine.list();
-                        mine.merge(theirs.list(), now);
-                        theirs.merge(list, now);
-                    }
-                });
-            }
-
-            @Override
-            public void changed(Member member) {
-                changes.add(new Change(now, name, member));
-            }
-        }, now);
+        Swim swim =
+                new Swim(
+                        self,
+                        List.of(address(0)),
+                        timing,
+                        random,
+                        new Swim.Out() {
+                            @Override
+                            public void send(InetSocketAddress to, Message message) {
+                                bytes += size.applyAsInt(message);
+                                sent++;
+                                String there = names.get(to);
+                                if (random.nextDouble() >= loss && !cut.test(name, there)) {
+                                    int delay =
+                                            leastDelayMs
+                                                    + random.nextInt(
+                                                            Math.max(
+                                                                    1,
+                                                                    mostDelayMs
+                                                                            - leastDelayMs
+                                                                            + 1));
+                                    after(
+                                            Duration.ofMillis(delay),
+                                            () ->
+                                                    at(
+                                                            there,
+                                                            () -> {
+                                                                if (running.containsKey(there)) {
+                                                                    running.get(there)
+                                                                            .receive(
+                                                                                    message,
+                                                                                    self.address(),
+                                                                                    now);
+                                                                }
+                                                            }));
+                                }
+                            }
+
+                            @Override
+                            public void exchange(InetSocketAddress with) {
+                                String there = names.get(with);
+                                if (asking.merge(name, 1, Integer::sum) > MOST_PULLS) {
+                                    asking.merge(name, -1, Integer::sum);
+                                    return; // as the program does: a list that comes from another
+                                    // soon has the same
+                                }
+                                after(
+                                        EXCHANGE,
+                                        () -> {
+                                            asking.merge(name, -1, Integer::sum);
+                                            Swim mine = running.get(name);
+                                            Swim theirs = running.get(there);
+                                            if (mine != null
+                                                    && theirs != null
+                                                    && !cut.test(name, there)
+                                                    && !cut.test(there, name)
+                                                    && !stalled.containsKey(name)
+                                                    && !stalled.containsKey(there)) {
+                                                List<Member> list = mine.list();
+                                                mine.merge(theirs.list(), now);
+                                                theirs.merge(list, now);
+                                            }
+                                        });
+                            }
+
+                            @Override
+                            public void changed(Member member) {
+                                changes.add(new Change(now, name, member));
+                            }
+                        },
+                        now);
         running.put(name, swim);
         tick(name, swim);
         return swim;
     }
 
     private void tick(String name, Swim swim) {
-        after(Duration.between(now, swim.due()).plusNanos(1), () -> at(name, () -> {
-            if (running.get(name) == swim) {
-                swim.tick(now);
-                if (swim.due().isBefore(Instant.MAX)) {
-                    tick(name, swim);
-                }
-            }
-        }));
+        after(
+                Duration.between(now, swim.due()).plusNanos(1),
+                () ->
+                        at(
+                                name,
+                                () -> {
+                                    if (running.get(name) == swim) {
+                                        swim.tick(now);
+                                        if (swim.due().isBefore(Instant.MAX)) {
+                                            tick(name, swim);
+                                        }
+                                    }
+                                }));
     }
 
     /** Runs what is for a member now, or when it goes on where it stands still. */
--- a/src/main/java/cypressglade/lab/ProcessFleet.java
+++ b/src/main/java/cypressglade/lab/ProcessFleet.java
@@ -34,10 +34,10 @@
 import java.util.stream.IntStream;
 
 /**
- * A fleet of real processes of this program on loopback, each with its own files, with a {@link FaultHub}
- * between them. What a member sees is read from the lines that it logs ({@code fleet.View}); waits are for
- * such lines and end at a bound. Member {@code n} is named {@code m-n}; all seek member 0, and member 0 seeks
- * member 1.
+ * A fleet of real processes of this program on loopback, each with its own files, with a {@link
+ * FaultHub} between them. What a member sees is read from the lines that it logs ({@code
+ * fleet.View}); waits are for such lines and end at a bound. Member {@code n} is named {@code m-n};
+ * all seek member 0, and member 0 seeks member 1.
  *
  * <p>Only processes that it started are signalled, by their id; {@link #close} ends all of them.
  */
@@ -100,11 +100,17 @@
     }
 
     /**
-     * The same, with a configuration changed from the example's, and with members that share limits and
-     * verdicts where there are terms.
+     * The same, with a configuration changed from the example's, and with members that share limits
+     * and verdicts where there are terms.
      */
-    public ProcessFleet(Path folder, int members, Duration period, long seed,
-            UnaryOperator<String> configuration, Optional<Terms> terms) throws IOException {
+    public ProcessFleet(
+            Path folder,
+            int members,
+            Duration period,
+            long seed,
+            UnaryOperator<String> configuration,
+            Optional<Terms> terms)
+            throws IOException {
         this.folder = folder;
         this.period = period;
         this.configuration = configuration;
@@ -112,8 +118,11 @@
         hub = new FaultHub(members, seed);
         byte[] key = new byte[KEY_BYTES];
         new SecureRandom().nextBytes(key);
-        Path ring = Files.createFile(folder.resolve("peers.key"), PosixFilePermissions.asFileAttribute(
-                PosixFilePermissions.fromString("rw-------")));
+        Path ring =
+                Files.createFile(
+                        folder.resolve("peers.key"),
+                        PosixFilePermissions.asFileAttribute(
+                                PosixFilePermissions.fromString("rw-------")));
         Files.writeString(ring, "1 " + HexFormat.of().formatHex(key) + "\n");
         IntStream.range(0, members).forEach(i -> slots.add(new Slot(i)));
     }
@@ -132,7 +141,10 @@
 
     // ---- processes
 
-    /** Starts the first members, all at once, and waits until each serves and all hold each other alive. */
+    /**
+     * Starts the first members, all at once, and waits until each serves and all hold each other
+     * alive.
+     */
     public void startAll(int members) throws IOException {
         for (Slot slot : slots.subList(0, members)) {
             launch(slot);
@@ -160,29 +172,56 @@
     private void launch(Slot slot) throws IOException {
         int number = slot.number;
         Path own = Files.createDirectories(folder.resolve("m-" + number));
-        Path config = Files.writeString(own.resolve("config.json"),
-                configuration.apply(Files.readString(Path.of("deploy/config.example.json")))
-                        .replace("\"name\":\"n1\"", "\"name\":\"" + slot.name + "\"")
-                        .replace("127.0.0.1:8500", "127.0.0.1:" + closedPort()));
+        Path config =
+                Files.writeString(
+                        own.resolve("config.json"),
+                        configuration
+                                .apply(Files.readString(Path.of("deploy/config.example.json")))
+                                .replace("\"name\":\"n1\"", "\"name\":\"" + slot.name + "\"")
+                                .replace("127.0.0.1:8500", "127.0.0.1:" + closedPort()));
         String seeds = text(hub.address(number == 0 ? Math.min(1, slots.size() - 1) : 0));
-        ObjectNode file = JSON.createObjectNode().put("enabled", true).put("name", slot.name)
-                .put("listen", FaultHub.host(number) + ":0")
-                .put("advertise", text(hub.address(number))).put("seeds", seeds)
-                .put("key_file", "../peers.key")
-                .put("period_ms", period.toMillis()).put("view", true).put("start_wait_ms", 0);
+        ObjectNode file =
+                JSON.createObjectNode()
+                        .put("enabled", true)
+                        .put("name", slot.name)
+                        .put("listen", FaultHub.host(number) + ":0")
+                        .put("advertise", text(hub.address(number)))
+                        .put("seeds", seeds)
+                        .put("key_file", "../peers.key")
+                        .put("period_ms", period.toMillis())
+                        .put("view", true)
+                        .put("start_wait_ms", 0);
         if (terms.isPresent()) {
             ArrayNode roster = file.putArray("roster");
             terms.get().roster().forEach(roster::add);
-            file.put("floor", terms.get().floor()).put("lag", terms.get().lag())
-                    .put("window_ms", terms.get().window().toMillis()).put("snapshot_dir", Files
-                            .createDirectories(own.resolve("kept")).getFileName().toString());
+            file.put("floor", terms.get().floor())
+                    .put("lag", terms.get().lag())
+                    .put("window_ms", terms.get().window().toMillis())
+                    .put(
+                            "snapshot_dir",
+                            Files.createDirectories(own.resolve("kept")).getFileName().toString());
         }
         Path fleet = Files.writeString(own.resolve("fleet.json"), file.toString());
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java")
-                .toString(), HEAP, "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-cp",
-                System.getProperty("java.class.path"), "cypressglade.cli.Main", "serve", "--config",
-                config.toString(), "--peers", fleet.toString(), "--nbd", "off", "--console", "off")
-                .redirectErrorStream(true);
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                HEAP,
+                                "-XX:+UseSerialGC",
+                                "-XX:TieredStopAtLevel=1",
+                                "-XX:-UsePerfData",
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                "cypressglade.cli.Main",
+                                "serve",
+                                "--config",
+                                config.toString(),
+                                "--peers",
+                                fleet.toString(),
+                                "--nbd",
+                                "off",
+                                "--console",
+                                "off")
+                        .redirectErrorStream(true);
         builder.environment().put("ROUTER_OPERATOR", "127.0.0.1:0");
         builder.environment().put("TMPDIR", own.toString());
         Process process = builder.start();
@@ -211,8 +250,8 @@
 
     private void awaitUp(Slot slot) throws IOException {
         if (!await(START, () -> slot.up || !slot.process.isAlive()) || !slot.up) {
-            throw new IOException(slot.name + " did not start; it said last:\n"
-                    + String.join("\n", slot.tail));
+            throw new IOException(
+                    slot.name + " did not start; it said last:\n" + String.join("\n", slot.tail));
         }
     }
 
@@ -262,7 +301,8 @@
 
     private static InetSocketAddress address(String line) {
         String address = line.substring(line.indexOf('/') + 1);
-        return new InetSocketAddress(address.substring(0, address.lastIndexOf(':')),
+        return new InetSocketAddress(
+                address.substring(0, address.lastIndexOf(':')),
                 Integer.parseInt(address.substring(address.lastIndexOf(':') + 1)));
     }
 
@@ -313,7 +353,8 @@
 
     private void signal(int member, String signal) throws IOException {
         Slot slot = slots.get(member);
-        Process kill = new ProcessBuilder("kill", signal, Long.toString(slot.process.pid())).start();
+        Process kill =
+                new ProcessBuilder("kill", signal, Long.toString(slot.process.pid())).start();
         try {
             if (kill.waitFor() != 0) {
                 throw new IOException("kill " + signal + " of " + slot.name + " failed");
@@ -332,8 +373,8 @@
     }
 
     /**
-     * Does what a step of a script says; false where it expects something that does not come in time. A step
-     * about processes waits until it is done.
+     * Does what a step of a script says; false where it expects something that does not come in
+     * time. A step about processes waits until it is done.
      */
     public boolean act(FaultScript.Step step) throws IOException {
         boolean held = true;
@@ -375,8 +416,13 @@
         try (Socket socket = new Socket(door.getAddress(), door.getPort())) {
             socket.setSoTimeout((int) END.toMillis());
             socket.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
-            return Optional.ofNullable(new BufferedReader(new InputStreamReader(socket.getInputStream(),
-                    StandardCharsets.UTF_8)).readLine()).orElse("");
+            return Optional.ofNullable(
+                            new BufferedReader(
+                                            new InputStreamReader(
+                                                    socket.getInputStream(),
+                                                    StandardCharsets.UTF_8))
+                                    .readLine())
+                    .orElse("");
         }
     }
 
@@ -389,7 +435,10 @@
         return JSON.readTree(answer.substring("200 ".length()));
     }
 
-    /** What was logged since a time in milliseconds of the epoch, by anyone, in the order it was read in. */
+    /**
+     * What was logged since a time in milliseconds of the epoch, by anyone, in the order it was
+     * read in.
+     */
     public List<Event> since(long ms) {
         synchronized (events) {
             return events.stream().filter(event -> event.atMs >= ms).toList();
@@ -398,33 +447,51 @@
 
     /** Changes to DEAD since a time, but for those of the names given. */
     public List<Event> deaths(long sinceMs, String... but) {
-        return since(sinceMs).stream().filter(event -> event.state().equals(text(State.DEAD))
-                && !List.of(but).contains(event.name())).toList();
+        return since(sinceMs).stream()
+                .filter(
+                        event ->
+                                event.state().equals(text(State.DEAD))
+                                        && !List.of(but).contains(event.name()))
+                .toList();
     }
 
     /** Whether something is logged by a member before the bound, or was since the time given. */
     public boolean logged(long sinceMs, Duration most, Predicate<Event> wanted) {
-        return await(most, () -> events.stream()
-                .anyMatch(event -> event.atMs >= sinceMs && wanted.test(event)));
+        return await(
+                most,
+                () ->
+                        events.stream()
+                                .anyMatch(event -> event.atMs >= sinceMs && wanted.test(event)));
     }
 
     /**
      * Waits until those members hold one of that name in a state.
      *
-     * @return when the last of them came to, in milliseconds of the epoch; -1 where one did not within the
-     * bound
+     * @return when the last of them came to, in milliseconds of the epoch; -1 where one did not
+     *     within the bound
      */
     public long held(List<Integer> by, String name, State state, Duration most) {
-        boolean all = await(most, () -> by.stream().map(slots::get)
-                .allMatch(slot -> text(state).equals(slot.seen.get(name))));
-        return !all ? -1 : last(event -> by.contains(event.seenBy) && event.name().equals(name)
-                && event.state().equals(text(state)));
+        boolean all =
+                await(
+                        most,
+                        () ->
+                                by.stream()
+                                        .map(slots::get)
+                                        .allMatch(slot -> text(state).equals(slot.seen.get(name))));
+        return !all
+                ? -1
+                : last(
+                        event ->
+                                by.contains(event.seenBy)
+                                        && event.name().equals(name)
+                                        && event.state().equals(text(state)));
     }
 
     /**
      * Waits until all that run, and do not stand still, hold each other alive.
      *
-     * @return when the last change to that came, in milliseconds of the epoch; -1 where it did not come
+     * @return when the last change to that came, in milliseconds of the epoch; -1 where it did not
+     *     come
      */
     public long oneView(Duration most) {
         return await(most, this::one) ? last(event -> event.state().equals(text(State.ALIVE))) : -1;
@@ -432,8 +499,17 @@
 
     private boolean one() {
         List<Slot> running = slots.stream().filter(slot -> slot.up && !slot.stalled).toList();
-        return running.stream().allMatch(slot -> running.stream().filter(other -> other != slot)
-                .allMatch(other -> text(State.ALIVE).equals(slot.seen.get(other.name))));
+        return running.stream()
+                .allMatch(
+                        slot ->
+                                running.stream()
+                                        .filter(other -> other != slot)
+                                        .allMatch(
+                                                other ->
+                                                        text(State.ALIVE)
+                                                                .equals(
+                                                                        slot.seen.get(
+                                                                                other.name))));
     }
 
     private long last(Predicate<Event> of) {
@@ -445,8 +521,10 @@
     /** Members that run, but for those given. */
     public List<Integer> running(Integer... but) {
         synchronized (events) {
-            return slots.stream().filter(slot -> slot.up && !List.of(but).contains(slot.number))
-                    .map(slot -> slot.number).toList();
+            return slots.stream()
+                    .filter(slot -> slot.up && !List.of(but).contains(slot.number))
+                    .map(slot -> slot.number)
+                    .toList();
         }
     }
 
@@ -469,7 +547,10 @@
         }
     }
 
-    /** Lets a time pass in which faults act; what is looked at after it is what was logged meanwhile. */
+    /**
+     * Lets a time pass in which faults act; what is looked at after it is what was logged
+     * meanwhile.
+     */
     public void pass(Duration time) {
         await(time, () -> false);
     }
@@ -481,8 +562,15 @@
     /** What each member sees now, for messages. */
     public String text() {
         synchronized (events) {
-            return slots.stream().map(slot -> slot.name + (slot.up ? "" : " (down)") + (slot.stalled
-                    ? " (stalled)" : "") + " sees " + slot.seen).collect(Collectors.joining("; "));
+            return slots.stream()
+                    .map(
+                            slot ->
+                                    slot.name
+                                            + (slot.up ? "" : " (down)")
+                                            + (slot.stalled ? " (stalled)" : "")
+                                            + " sees "
+                                            + slot.seen)
+                    .collect(Collectors.joining("; "));
         }
     }
 
--- a/src/main/java/cypressglade/lab/ShareLab.java
+++ b/src/main/java/cypressglade/lab/ShareLab.java
@@ -15,21 +15,23 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
 /**
- * A fleet that shares a limit, a cold node and verdicts, played in virtual time with the code that the
- * program runs ({@link Sharing}), under a schedule of faults. Each member keeps its store as the module does
- * and spends what it likes of it; after each step what all have spent is held against one store of the whole
- * limit, and what the cold node got against what it bears. After the last fault, quiet windows follow in
- * which all is to agree again.
+ * A fleet that shares a limit, a cold node and verdicts, played in virtual time with the code that
+ * the program runs ({@link Sharing}), under a schedule of faults. Each member keeps its store as
+ * the module does and spends what it likes of it; after each step what all have spent is held
+ * against one store of the whole limit, and what the cold node got against what it bears. After the
+ * last fault, quiet windows follow in which all is to agree again.
  */
 public final class ShareLab {
-    /** The whole: units a second, units at once, units that the cold node bears in {@link #HELD}. */
+    /**
+     * The whole: units a second, units at once, units that the cold node bears in {@link #HELD}.
+     */
     private static final double RATE = 100;
+
     private static final double BURST = 150;
     private static final double SLACK = 15;
     private static final double BEARS = 40;
@@ -41,12 +43,16 @@
     private static final int LAG = 2;
     private static final String VOLUME = Key.volume(7);
     private static final String NODE = Key.node("s-0", 1);
+
     /** Windows without a word after which a member is taken for dead. */
     private static final int HEARD_WITHIN = 3;
+
     private static final int QUIET = 2 * HEARD_WITHIN + 2 * LAG + 2;
     private static final int MOST_LATE = 3 * STEPS;
+
     /** What the membership says of itself: that its sender lives. */
     private static final Notice PING = new Notice(0, Map.of(), List.of(), List.of());
+
     private static final double ROUNDING = 1e-6;
 
     private final Random random;
@@ -63,9 +69,21 @@
     private double overload;
 
     /** What goes wrong. */
-    public enum Kind { CUT_ONE_WAY, LOSE_HALF, LATE, TWICE, RESTART, DOWN, STALL, ODD_VIEW }
+    public enum Kind {
+        CUT_ONE_WAY,
+        LOSE_HALF,
+        LATE,
+        TWICE,
+        RESTART,
+        DOWN,
+        STALL,
+        ODD_VIEW
+    }
 
-    /** A fault from a window on, for so many: on the link from one to the other, or of the first alone. */
+    /**
+     * A fault from a window on, for so many: on the link from one to the other, or of the first
+     * alone.
+     */
     public record Fault(Kind kind, int one, int other, int from, int span) {
         boolean on(int window) {
             return window >= from && window < from + span;
@@ -75,21 +93,27 @@
     /**
      * What a play found.
      *
-     * @param overshoot most units that the fleet spent beyond one store of the limit, and what restarts grant
-     * @param overload most units that the cold node got beyond what it bears, and what restarts grant
+     * @param overshoot most units that the fleet spent beyond one store of the limit, and what
+     *     restarts grant
+     * @param overload most units that the cold node got beyond what it bears, and what restarts
+     *     grant
      * @param lastSum of all parts in the last window; under 1 the whole is not used
      * @param agreed whether all hold the same verdicts in the end
      * @param lost verdicts of which neither that nor a later one on its subject is held in the end
      */
-    public record Found(double overshoot, double overload, double lastSum, boolean agreed, int lost) {
+    public record Found(
+            double overshoot, double overload, double lastSum, boolean agreed, int lost) {
         /** Whether everything that is promised held. */
         public boolean holds() {
-            return overshoot <= ROUNDING && overload <= ROUNDING && Math.abs(lastSum - 1) <= ROUNDING
-                    && agreed && lost == 0;
+            return overshoot <= ROUNDING
+                    && overload <= ROUNDING
+                    && Math.abs(lastSum - 1) <= ROUNDING
+                    && agreed
+                    && lost == 0;
         }
     }
 
-    private record Late(int due, int to, int from, Notice notice) { }
+    private record Late(int due, int to, int from, Notice notice) {}
 
     /** One member: what it shares, and its stores as the module keeps them. */
     private final class Member implements Sharing.Out<Integer> {
@@ -118,15 +142,18 @@
             start(sharing.verdicts());
             store = terms.least() * SLACK;
             allowed += store;
-            // What a cold node got of the former life is in its window still, which the new one cannot know.
+            // What a cold node got of the former life is in its window still, which the new one
+            // cannot know.
             former.addAll(sends);
             sends.clear();
             restarts.add(step);
         }
 
         private double part(String key) {
-            return granted.window() == terms.window(now()) ? granted.parts().getOrDefault(key,
-                            key.equals(NODE) ? granted.coldRest() : granted.rest())
+            return granted.window() == terms.window(now())
+                    ? granted.parts()
+                            .getOrDefault(
+                                    key, key.equals(NODE) ? granted.coldRest() : granted.rest())
                     : terms.least();
         }
 
@@ -149,7 +176,7 @@
         }
 
         @Override
-        public void ruled(Verdict verdict) { }
+        public void ruled(Verdict verdict) {}
 
         @Override
         public void granted(Grant grant) {
@@ -158,14 +185,21 @@
 
         @Override
         public void ask(long window) {
-            sharing.wanted(window, Map.of(VOLUME, 1.0 + random.nextInt(9), NODE, 1.0 * random.nextInt(5)));
+            sharing.wanted(
+                    window, Map.of(VOLUME, 1.0 + random.nextInt(9), NODE, 1.0 * random.nextInt(5)));
         }
     }
 
     private ShareLab(int size, long seed) {
         random = new Random(seed);
-        terms = new Terms(IntStream.range(0, size).mapToObj(ShareLab::name).collect(Collectors.toSet()),
-                FLOOR, LAG, WINDOW);
+        terms =
+                new Terms(
+                        IntStream.range(0, size)
+                                .mapToObj(ShareLab::name)
+                                .collect(Collectors.toSet()),
+                        FLOOR,
+                        LAG,
+                        WINDOW);
         for (int i = 0; i < size; i++) {
             members.add(new Member(i));
         }
@@ -190,7 +224,8 @@
 
     private Found run(List<Fault> schedule) {
         faults = schedule;
-        int end = faults.stream().mapToInt(fault -> fault.from + fault.span).max().orElse(0) + QUIET;
+        int end =
+                faults.stream().mapToInt(fault -> fault.from + fault.span).max().orElse(0) + QUIET;
         List<Verdict> given = new ArrayList<>();
         while (window() < end) {
             step++;
@@ -206,17 +241,41 @@
             }
             spend();
             Member one = members.get(random.nextInt(members.size()));
-            if (window() < end - QUIET && one.up && random.nextInt(4) == 0) { // clocks differ by some windows
-                given.add(one.sharing.give("node s-" + random.nextInt(3), random.nextBoolean() ? "exclude"
-                        : "include", now().plusSeconds(random.nextInt(5))));
+            if (window() < end - QUIET
+                    && one.up
+                    && random.nextInt(4) == 0) { // clocks differ by some windows
+                given.add(
+                        one.sharing.give(
+                                "node s-" + random.nextInt(3),
+                                random.nextBoolean() ? "exclude" : "include",
+                                now().plusSeconds(random.nextInt(5))));
             }
         }
         List<Verdict> held = members.get(0).sharing.verdicts();
-        int lost = (int) given.stream().filter(verdict -> held.stream().noneMatch(holds ->
-                holds.subject().equals(verdict.subject()) && !holds.at().isBefore(verdict.at()))).count();
+        int lost =
+                (int)
+                        given.stream()
+                                .filter(
+                                        verdict ->
+                                                held.stream()
+                                                        .noneMatch(
+                                                                holds ->
+                                                                        holds.subject()
+                                                                                        .equals(
+                                                                                                verdict
+                                                                                                        .subject())
+                                                                                && !holds.at()
+                                                                                        .isBefore(
+                                                                                                verdict
+                                                                                                        .at())))
+                                .count();
         double sum = members.stream().mapToDouble(member -> member.part(VOLUME)).sum();
-        return new Found(overshoot, overload, sum, members.stream()
-                .allMatch(member -> member.sharing.verdicts().equals(held)), lost);
+        return new Found(
+                overshoot,
+                overload,
+                sum,
+                members.stream().allMatch(member -> member.sharing.verdicts().equals(held)),
+                lost);
     }
 
     private void restarts() {
@@ -233,11 +292,18 @@
     }
 
     private boolean on(Kind kind, Member member) {
-        return faults.stream().anyMatch(fault -> fault.kind == kind && fault.on(window())
-                && fault.one == member.number);
+        return faults.stream()
+                .anyMatch(
+                        fault ->
+                                fault.kind == kind
+                                        && fault.on(window())
+                                        && fault.one == member.number);
     }
 
-    /** Each spends some or all of its store and of its part of the cold node; those that stand still, too. */
+    /**
+     * Each spends some or all of its store and of its part of the cold node; those that stand
+     * still, too.
+     */
     private void spend() {
         long since = step - HELD.toMillis() * STEPS / WINDOW.toMillis();
         former.removeIf(sent -> sent[0] <= since);
@@ -249,7 +315,8 @@
             if (member.up) {
                 double part = member.part(VOLUME);
                 member.refill(part, STEP_S);
-                double sent = random.nextBoolean() ? member.store : member.store * random.nextDouble();
+                double sent =
+                        random.nextBoolean() ? member.store : member.store * random.nextDouble();
                 member.store -= sent;
                 spent += sent;
                 double room = BEARS * member.part(NODE) - sum(member.sends);
@@ -269,14 +336,27 @@
     }
 
     private boolean cut(int from, int to) {
-        return faults.stream().anyMatch(fault -> fault.kind == Kind.CUT_ONE_WAY && fault.on(window())
-                && fault.one == from && fault.other == to);
+        return faults.stream()
+                .anyMatch(
+                        fault ->
+                                fault.kind == Kind.CUT_ONE_WAY
+                                        && fault.on(window())
+                                        && fault.one == from
+                                        && fault.other == to);
     }
 
     private void post(int from, int to, Notice notice) {
-        List<Kind> kinds = faults.stream().filter(fault -> fault.on(window()) && fault.one == from
-                && fault.other == to).map(Fault::kind).toList();
-        if (kinds.contains(Kind.CUT_ONE_WAY) || kinds.contains(Kind.LOSE_HALF) && random.nextBoolean()) {
+        List<Kind> kinds =
+                faults.stream()
+                        .filter(
+                                fault ->
+                                        fault.on(window())
+                                                && fault.one == from
+                                                && fault.other == to)
+                        .map(Fault::kind)
+                        .toList();
+        if (kinds.contains(Kind.CUT_ONE_WAY)
+                || kinds.contains(Kind.LOSE_HALF) && random.nextBoolean()) {
             return;
         }
         int lateBy = kinds.contains(Kind.LATE) ? random.nextInt(MOST_LATE) : 0;
@@ -298,12 +378,17 @@
         }
     }
 
-    /** Whom a member takes for alive: who was heard from lately, or anybody at all under an odd view. */
+    /**
+     * Whom a member takes for alive: who was heard from lately, or anybody at all under an odd
+     * view.
+     */
     private Map<String, Integer> alive(Member member) {
         Map<String, Integer> alive = new TreeMap<>();
         boolean odd = on(Kind.ODD_VIEW, member);
         for (int other = 0; other < members.size(); other++) {
-            boolean heard = member.heardAt.getOrDefault(other, -HEARD_WITHIN - 1) >= window() - HEARD_WITHIN;
+            boolean heard =
+                    member.heardAt.getOrDefault(other, -HEARD_WITHIN - 1)
+                            >= window() - HEARD_WITHIN;
             if (other != member.number && (odd ? random.nextBoolean() : heard)) {
                 alive.put(name(other), other);
             }
--- a/src/main/java/cypressglade/lab/StormLab.java
+++ b/src/main/java/cypressglade/lab/StormLab.java
@@ -19,12 +19,12 @@
 import java.util.SplittableRandom;
 
 /**
- * Storms of second tries in virtual time, without sockets: schedulers, nodes that work off a queue, come back
- * cold and put off a part of their writes' work, and clients with habits of coming again. What is done about
- * storms is the code of the program ({@link Storms}); who is sent on is decided by a plain rule in place of
- * the decision module: each scheduler has as much out at a node as is worked off in a part of a client's
- * patience, one request at the least, and refuses what comes beyond; at a node that gave no answer in time
- * they test in turn, by a request each.
+ * Storms of second tries in virtual time, without sockets: schedulers, nodes that work off a queue,
+ * come back cold and put off a part of their writes' work, and clients with habits of coming again.
+ * What is done about storms is the code of the program ({@link Storms}); who is sent on is decided
+ * by a plain rule in place of the decision module: each scheduler has as much out at a node as is
+ * worked off in a part of a client's patience, one request at the least, and refuses what comes
+ * beyond; at a node that gave no answer in time they test in turn, by a request each.
  *
  * <p>All chance comes from the scene's seed. A scene is played by {@link #play}, once.
  */
@@ -33,7 +33,8 @@
     private static final Duration PATIENCE = Duration.ofSeconds(2);
     private static final Duration LONGEST_ADVICE = Duration.ofSeconds(1);
     private static final Duration PLAIN_ADVICE = Duration.ofMillis(50);
-    private static final Duration TEST_GAP = Duration.ofMillis(62); // of all schedulers, at a silent node
+    private static final Duration TEST_GAP =
+            Duration.ofMillis(62); // of all schedulers, at a silent node
     private static final Duration LOOK = Duration.ofMillis(500);
     private static final Duration FLUSH = Duration.ofSeconds(2);
     private static final int MOST_TRIES = 20;
@@ -46,18 +47,19 @@
     private static final double RECOVERED = 0.95;
     private static final int STEADY = 3; // seconds that have to be as good, one after another
 
-    private static final Storms.Out QUIET = new Storms.Out() {
-        @Override
-        public void turned(String place, Weather.State state, Instant at) { }
+    private static final Storms.Out QUIET =
+            new Storms.Out() {
+                @Override
+                public void turned(String place, Weather.State state, Instant at) {}
 
-        @Override
-        public void counted(Storms.Count what) { }
-    };
+                @Override
+                public void counted(Storms.Count what) {}
+            };
 
     private final Scene scene;
     private final SplittableRandom random;
-    private final PriorityQueue<Event> events = new PriorityQueue<>(
-            Comparator.comparing(Event::at).thenComparing(Event::number));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(Comparator.comparing(Event::at).thenComparing(Event::number));
     private final Node[] nodes;
     private final Head[] heads;
     private final long[] served;
@@ -72,10 +74,16 @@
     private long decisions;
 
     /** What a client does that was not served. */
-    public enum Habit { NEVER, AT_ONCE, FIXED, EXPONENTIAL, HEEDS }
+    public enum Habit {
+        NEVER,
+        AT_ONCE,
+        FIXED,
+        EXPONENTIAL,
+        HEEDS
+    }
 
     /** Nodes {@code from} to {@code to} are away for a time. */
-    public record Outage(int from, int to, Duration begin, Duration end) { }
+    public record Outage(int from, int to, Duration begin, Duration end) {}
 
     /**
      * What is played.
@@ -85,25 +93,41 @@
      * @param habits of the clients, in turn
      * @param storms what is done about storms; nothing without
      */
-    public record Scene(int schedulers, int nodes, int clients, double speed, double load, List<Habit> habits,
-            List<Outage> outages, Duration span, Optional<Terms> storms, long seed) { }
+    public record Scene(
+            int schedulers,
+            int nodes,
+            int clients,
+            double speed,
+            double load,
+            List<Habit> habits,
+            List<Outage> outages,
+            Duration span,
+            Optional<Terms> storms,
+            long seed) {}
 
     /**
      * What came of it.
      *
-     * @param recoveryS seconds from the last outage's end until as much is served as before the first, for
-     * good; -1 where that did not come
-     * @param worst the least that was served in a second from the first outage on, of what was before
+     * @param recoveryS seconds from the last outage's end until as much is served as before the
+     *     first, for good; -1 where that did not come
+     * @param worst the least that was served in a second from the first outage on, of what was
+     *     before
      * @param tries of clients, first and further ones
      * @param turned away before the plain rule was asked
      * @param decisionUs processor time that {@link Storms} took for a decision, on average
      * @param perSecond how many were served in each second
      * @param served part of what was asked that was served in the end, by habit
      */
-    public record Result(double recoveryS, double worst, long tries, long turned, double decisionUs,
-            List<Long> perSecond, Map<Habit, Double> served) { }
+    public record Result(
+            double recoveryS,
+            double worst,
+            long tries,
+            long turned,
+            double decisionUs,
+            List<Long> perSecond,
+            Map<Habit, Double> served) {}
 
-    private record Event(Instant at, long number, Runnable run) { }
+    private record Event(Instant at, long number, Runnable run) {}
 
     /** One request of a client, through all its tries. */
     private static final class Ask {
@@ -135,14 +159,21 @@
         }
 
         boolean away() {
-            return scene.outages.stream().anyMatch(outage -> number >= outage.from && number < outage.to
-                    && !now.isBefore(Instant.EPOCH.plus(outage.begin))
-                    && now.isBefore(Instant.EPOCH.plus(outage.end)));
+            return scene.outages.stream()
+                    .anyMatch(
+                            outage ->
+                                    number >= outage.from
+                                            && number < outage.to
+                                            && !now.isBefore(Instant.EPOCH.plus(outage.begin))
+                                            && now.isBefore(Instant.EPOCH.plus(outage.end)));
         }
 
         double speed() {
-            double warm = Math.min(1,
-                    Duration.between(started, now).toNanos() / (double) WARM_AFTER.toNanos());
+            double warm =
+                    Math.min(
+                            1,
+                            Duration.between(started, now).toNanos()
+                                    / (double) WARM_AFTER.toNanos());
             return scene.speed * (COLD + (1 - COLD) * warm);
         }
 
@@ -165,26 +196,38 @@
     private final class Head {
         private final Optional<Storms> storms;
         private final int[] out = new int[scene.nodes];
-        private final int most = (int) Math.max(1,
-                OUT_PART * PATIENCE.toNanos() / 1e9 * scene.speed / UNITS / scene.schedulers);
+        private final int most =
+                (int)
+                        Math.max(
+                                1,
+                                OUT_PART
+                                        * PATIENCE.toNanos()
+                                        / 1e9
+                                        * scene.speed
+                                        / UNITS
+                                        / scene.schedulers);
         private final Instant[] tested = new Instant[scene.nodes];
         private final boolean[] down = new boolean[scene.nodes];
 
         Head(long seed) {
             Arrays.fill(tested, Instant.EPOCH);
-            storms = scene.storms.map(terms -> new Storms(terms, new SplittableRandom(seed), QUIET, now));
-            storms.ifPresent(kept -> {
-                kept.longest(LONGEST_ADVICE);
-                look();
-            });
+            storms =
+                    scene.storms.map(
+                            terms -> new Storms(terms, new SplittableRandom(seed), QUIET, now));
+            storms.ifPresent(
+                    kept -> {
+                        kept.longest(LONGEST_ADVICE);
+                        look();
+                    });
         }
 
         private void look() {
             Map<Integer, Speed> speeds = new HashMap<>();
             for (Node node : nodes) {
                 if (!down[node.number]) {
-                    speeds.put(node.number, new Speed(node.speed() / scene.schedulers,
-                            Double.POSITIVE_INFINITY));
+                    speeds.put(
+                            node.number,
+                            new Speed(node.speed() / scene.schedulers, Double.POSITIVE_INFINITY));
                 }
             }
             storms.get().speeds(speeds);
@@ -194,8 +237,19 @@
 
         void came(Ask ask) {
             Instant expiry = now.plus(PATIENCE);
-            Try one = new Try(ask.node, ask.client, 1, ask.piece, ask.write ? 1 : 0, UNITS, ask.tries > 1,
-                    Try.Effect.NONE, 0, Duration.ZERO, expiry);
+            Try one =
+                    new Try(
+                            ask.node,
+                            ask.client,
+                            1,
+                            ask.piece,
+                            ask.write ? 1 : 0,
+                            UNITS,
+                            ask.tries > 1,
+                            Try.Effect.NONE,
+                            0,
+                            Duration.ZERO,
+                            expiry);
             tries++;
             if (storms.isPresent()) {
                 long from = System.nanoTime();
@@ -218,25 +272,32 @@
                 Instant done = node.take(UNITS, ask.write);
                 boolean inTime = done.plus(WAY).isBefore(expiry);
                 out[ask.node]++;
-                after(Duration.between(now, inTime ? done : expiry), () -> {
-                    out[ask.node]--;
-                    down[ask.node] = !inTime;
-                    if (inTime) {
-                        storms.ifPresent(kept -> kept.served(one, now));
-                        answer(ask);
-                    } else {
-                        again(ask, Duration.ZERO);
-                    }
-                });
+                after(
+                        Duration.between(now, inTime ? done : expiry),
+                        () -> {
+                            out[ask.node]--;
+                            down[ask.node] = !inTime;
+                            if (inTime) {
+                                storms.ifPresent(kept -> kept.served(one, now));
+                                answer(ask);
+                            } else {
+                                again(ask, Duration.ZERO);
+                            }
+                        });
             }
         }
 
-        /** Whether so little is out there that it is answered in good time; a node that is away is tested. */
+        /**
+         * Whether so little is out there that it is answered in good time; a node that is away is
+         * tested.
+         */
         private boolean fits(int node) {
             if (!down[node]) {
                 return out[node] < most;
             }
-            if (Duration.between(tested[node], now).compareTo(TEST_GAP.multipliedBy(scene.schedulers)) < 0) {
+            if (Duration.between(tested[node], now)
+                            .compareTo(TEST_GAP.multipliedBy(scene.schedulers))
+                    < 0) {
                 return false;
             }
             tested[node] = now;
@@ -278,13 +339,15 @@
             after(Duration.ofNanos((long) (random.nextDouble() * FLUSH.toNanos())), node::flush);
         }
         for (Outage outage : scene.outages) {
-            after(outage.end, () -> {
-                for (int node = outage.from; node < outage.to; node++) {
-                    nodes[node].started = now;
-                    nodes[node].free = now;
-                    nodes[node].putOff = 0;
-                }
-            });
+            after(
+                    outage.end,
+                    () -> {
+                        for (int node = outage.from; node < outage.to; node++) {
+                            nodes[node].started = now;
+                            nodes[node].free = now;
+                            nodes[node].putOff = 0;
+                        }
+                    });
         }
         first();
         Instant end = Instant.EPOCH.plus(scene.span);
@@ -299,14 +362,21 @@
     /** The next first try, after a wait drawn for the load. */
     private void first() {
         double rate = scene.load * scene.nodes * scene.speed / UNITS;
-        after(Duration.ofNanos((long) (-Math.log(1 - random.nextDouble()) / rate * 1e9)), () -> {
-            int client = random.nextInt(scene.clients);
-            Ask ask = new Ask(random.nextInt(scene.nodes), client, random.nextInt(KINDS) == 0,
-                    scene.habits.get(client % scene.habits.size()), ++lastTry);
-            asked[ask.habit.ordinal()]++;
-            come(ask);
-            first();
-        });
+        after(
+                Duration.ofNanos((long) (-Math.log(1 - random.nextDouble()) / rate * 1e9)),
+                () -> {
+                    int client = random.nextInt(scene.clients);
+                    Ask ask =
+                            new Ask(
+                                    random.nextInt(scene.nodes),
+                                    client,
+                                    random.nextInt(KINDS) == 0,
+                                    scene.habits.get(client % scene.habits.size()),
+                                    ++lastTry);
+                    asked[ask.habit.ordinal()]++;
+                    come(ask);
+                    first();
+                });
     }
 
     private void come(Ask ask) {
@@ -325,12 +395,14 @@
         }
         double grown = 0.1 * Math.pow(2, Math.min(6, ask.tries)) * (0.5 + random.nextDouble());
         Duration backoff = Duration.ofNanos((long) (grown * 1e9));
-        after(switch (ask.habit) {
-            case AT_ONCE -> Duration.ofMillis(2);
-            case FIXED -> Duration.ofSeconds(1);
-            case HEEDS -> advice.isZero() ? backoff : advice;
-            default -> backoff;
-        }, () -> come(ask));
+        after(
+                switch (ask.habit) {
+                    case AT_ONCE -> Duration.ofMillis(2);
+                    case FIXED -> Duration.ofSeconds(1);
+                    case HEEDS -> advice.isZero() ? backoff : advice;
+                    default -> backoff;
+                },
+                () -> come(ask));
     }
 
     /** Microseconds of processor time of one refused second try, in a storm over so many nodes. */
@@ -347,8 +419,19 @@
         long from = System.nanoTime();
         for (int i = 0; i < tries; i++) {
             at = at.plusNanos(100_000); // 10,000 a second
-            Try one = new Try(random.nextInt(nodes), random.nextInt(1000), 1, random.nextInt(100), 0, UNITS,
-                    i % 4 > 0, Try.Effect.NONE, 0, Duration.ZERO, Instant.MAX);
+            Try one =
+                    new Try(
+                            random.nextInt(nodes),
+                            random.nextInt(1000),
+                            1,
+                            random.nextInt(100),
+                            0,
+                            UNITS,
+                            i % 4 > 0,
+                            Try.Effect.NONE,
+                            0,
+                            Duration.ZERO,
+                            Instant.MAX);
             if (storms.arrived(one, at).answer() == Answer.PASS) {
                 storms.refused(one, PLAIN_ADVICE, at);
             }
@@ -379,7 +462,13 @@
                 byHabit.put(habit, (double) answered[habit.ordinal()] / asked[habit.ordinal()]);
             }
         }
-        return new Result(recovery, worst, tries, turned, nanos / 1e3 / Math.max(1, decisions),
-                Arrays.stream(served).boxed().toList(), byHabit);
+        return new Result(
+                recovery,
+                worst,
+                tries,
+                turned,
+                nanos / 1e3 / Math.max(1, decisions),
+                Arrays.stream(served).boxed().toList(),
+                byHabit);
     }
 }
--- a/src/main/java/cypressglade/learn/Belief.java
+++ b/src/main/java/cypressglade/learn/Belief.java
@@ -8,7 +8,10 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.Collectors;
 
-/** What words on one node come to, weighed by age, by answers and by how well their origins held so far. */
+/**
+ * What words on one node come to, weighed by age, by answers and by how well their origins held so
+ * far.
+ */
 final class Belief {
     private final Instant now;
     private final ToDoubleFunction<Origin> standing;
@@ -34,7 +37,8 @@
      * @param listedUs the start of the node as the own list has it
      */
     Optional<Taught> taught(String node, long listedUs) {
-        // Of two words on warmth the colder holds, the own list's among them. What was said of an earlier run
+        // Of two words on warmth the colder holds, the own list's among them. What was said of an
+        // earlier run
         // of the node is of no use: the run that it was about is over.
         long startedUs = words.stream().mapToLong(Word::startedUs).reduce(listedUs, Math::max);
         words = words.stream().filter(word -> word.startedUs() == startedUs).toList();
@@ -44,12 +48,22 @@
         }
         Set<Origin> origins = words.stream().map(Word::origin).collect(Collectors.toSet());
         double pace = mean(Word::paceUs, Trust.PACE_HALF, averagePace);
-        return Optional.of(new Taught(node, pace, mean(Word::backlogUs, Trust.BACKLOG_HALF, 0),
-                mean(Word::strain, Trust.STRAIN_HALF, 0), mean(Word::errors, Trust.ERRORS_HALF, 0), silent(),
-                startedUs > listedUs ? startedUs : 0, newest.get(), origins));
+        return Optional.of(
+                new Taught(
+                        node,
+                        pace,
+                        mean(Word::backlogUs, Trust.BACKLOG_HALF, 0),
+                        mean(Word::strain, Trust.STRAIN_HALF, 0),
+                        mean(Word::errors, Trust.ERRORS_HALF, 0),
+                        silent(),
+                        startedUs > listedUs ? startedUs : 0,
+                        newest.get(),
+                        origins));
     }
 
-    /** A word of silence holds until a later word that the node answers, while that one is fresh. */
+    /**
+     * A word of silence holds until a later word that the node answers, while that one is fresh.
+     */
     private boolean silent() {
         Optional<Instant> silent = newest(true, Trust.SILENT_LIFE);
         Optional<Instant> healthy = newest(false, Trust.HEALTHY_LIFE);
@@ -57,18 +71,25 @@
     }
 
     private Optional<Instant> newest(boolean silent, Duration life) {
-        return words.stream().filter(word -> word.silent() == silent && word.age(now).compareTo(life) <= 0)
-                .map(Word::at).max(Instant::compareTo);
+        return words.stream()
+                .filter(word -> word.silent() == silent && word.age(now).compareTo(life) <= 0)
+                .map(Word::at)
+                .max(Instant::compareTo);
     }
 
-    /** The mean by weight, drawn to {@code otherwise} by as much as the best word lacks of full trust. */
+    /**
+     * The mean by weight, drawn to {@code otherwise} by as much as the best word lacks of full
+     * trust.
+     */
     private double mean(ToDoubleFunction<Word> figure, Duration half, double otherwise) {
         double sum = 0;
         double weights = 0;
         double best = 0;
         for (Word word : words) {
-            double weight = Trust.kept(word.age(now), half) * Trust.byAnswers(word.answers())
-                    * standing.applyAsDouble(word.origin());
+            double weight =
+                    Trust.kept(word.age(now), half)
+                            * Trust.byAnswers(word.answers())
+                            * standing.applyAsDouble(word.origin());
             sum += weight * figure.applyAsDouble(word);
             weights += weight;
             best = Math.max(best, weight);
--- a/src/main/java/cypressglade/learn/Hearsay.java
+++ b/src/main/java/cypressglade/learn/Hearsay.java
@@ -9,9 +9,9 @@
 import java.util.stream.Stream;
 
 /**
- * Words of others, the latest of each origin, a few origins a node, and a bounded number of nodes. Nothing is
- * merged here: a word keeps its origin and its age through all hands, so that it can be weighed anew at any
- * time and never looks younger than it is.
+ * Words of others, the latest of each origin, a few origins a node, and a bounded number of nodes.
+ * Nothing is merged here: a word keeps its origin and its age through all hands, so that it can be
+ * weighed anew at any time and never looks younger than it is.
  */
 final class Hearsay {
     static final int ORIGINS = 3;
@@ -20,7 +20,11 @@
     private final Map<String, List<Word>> byNode = new HashMap<>();
 
     /** What became of a word. */
-    enum Result { TAKEN, KNOWN, NO_ROOM }
+    enum Result {
+        TAKEN,
+        KNOWN,
+        NO_ROOM
+    }
 
     Hearsay(int mostNodes) {
         this.mostNodes = mostNodes;
@@ -68,7 +72,8 @@
     /** Forgets what is too old; returns how many words that were. */
     int forget(Instant now) {
         int before = size();
-        byNode.values().forEach(words -> words.removeIf(word -> word.age(now).compareTo(Trust.LIFE) > 0));
+        byNode.values()
+                .forEach(words -> words.removeIf(word -> word.age(now).compareTo(Trust.LIFE) > 0));
         byNode.values().removeIf(List::isEmpty);
         return before - size();
     }
--- a/src/main/java/cypressglade/learn/Learner.java
+++ b/src/main/java/cypressglade/learn/Learner.java
@@ -14,31 +14,43 @@
 import java.util.stream.Stream;
 
 /**
- * What one instance knows of the nodes: its own words, made of the module's views, and the words of others.
- * It says what the module is to be told, and what to tell others. Own answers beat hearsay at any age up to
- * {@link #OWN_LIFE}: of such a node nothing is told to the module.
+ * What one instance knows of the nodes: its own words, made of the module's views, and the words of
+ * others. It says what the module is to be told, and what to tell others. Own answers beat hearsay
+ * at any age up to {@link #OWN_LIFE}: of such a node nothing is told to the module.
  *
  * <p>Not safe for use by several threads; its owner is one thread.
  */
 public final class Learner {
     /** The module itself takes a node for average again by then. */
     static final Duration OWN_LIFE = Duration.ofSeconds(2);
+
     /** A view this fresh shows the node as its last answers did, not yet drawn to the average. */
     private static final Duration FRESH = Duration.ofMillis(600);
+
     /** Between two hints on one node: each takes its window back to the start. */
     private static final Duration HINT_GAP = Duration.ofSeconds(1);
+
     /** What is seen to be silent for the first time. */
     private static final Duration LEAST_SILENCE = Duration.ofMillis(1);
+
     /** A taught pace has held where the own one is within this factor. */
     private static final double HELD_FACTOR = 3;
+
     private static final int ANSWERS_TO_JUDGE = 4;
     private static final int MOST_ORIGINS = 256;
     private static final double START_PACE_US = 13_000;
 
     /** What became of words, over the life of the instance. */
     public enum Count {
-        WORDS_TAKEN, WORDS_KNOWN, WORDS_ECHOED, WORDS_REFUSED, WORDS_NO_ROOM, WORDS_AGED_OUT, HINTS_TAKEN,
-        HINTS_CONFIRMED, HINTS_CONTRADICTED
+        WORDS_TAKEN,
+        WORDS_KNOWN,
+        WORDS_ECHOED,
+        WORDS_REFUSED,
+        WORDS_NO_ROOM,
+        WORDS_AGED_OUT,
+        HINTS_TAKEN,
+        HINTS_CONFIRMED,
+        HINTS_CONTRADICTED
     }
 
     private final Origin self;
@@ -49,7 +61,7 @@
     private final Map<Count, Long> counts = new EnumMap<>(Count.class);
 
     /** A hint that is not yet judged, or was. */
-    private record Given(Taught taught, Instant at, boolean judged) { }
+    private record Given(Taught taught, Instant at, boolean judged) {}
 
     /**
      * Nothing is known at first.
@@ -72,7 +84,9 @@
         return counts.get(count);
     }
 
-    /** Takes in what another told; each word was aged by its way before. Returns how many were new. */
+    /**
+     * Takes in what another told; each word was aged by its way before. Returns how many were new.
+     */
     public int take(List<Word> words, Instant now) {
         int taken = 0;
         for (Word word : words) {
@@ -107,17 +121,24 @@
             String id = fact.known().id();
             Word before = own.get(id);
             if (!view.guarded() && view.silent()) {
-                Duration silentFor = before != null && before.silent()
-                        ? before.silentFor().plus(before.age(now)) : LEAST_SILENCE;
+                Duration silentFor =
+                        before != null && before.silent()
+                                ? before.silentFor().plus(before.age(now))
+                                : LEAST_SILENCE;
                 words.put(id, Word.own(id, view, silentFor, now, self));
             } else if (!view.guarded() && view.answeredAgoUs() >= 0) {
                 Duration ago = Duration.ofNanos(view.answeredAgoUs() * 1000);
                 boolean fresh = ago.compareTo(FRESH) <= 0;
-                words.put(id, fresh || before == null || before.startedUs() != view.startedUs()
-                        ? Word.own(id, view, Duration.ZERO, now.minus(ago), self) : before);
-            } else if (before != null && before.startedUs() == view.startedUs()
+                words.put(
+                        id,
+                        fresh || before == null || before.startedUs() != view.startedUs()
+                                ? Word.own(id, view, Duration.ZERO, now.minus(ago), self)
+                                : before);
+            } else if (before != null
+                    && before.startedUs() == view.startedUs()
                     && !(before.silent() && seenSince(before.at(), view, now))) {
-                // The module holds a node for silent only while something is out there. Until a sign of life
+                // The module holds a node for silent only while something is out there. Until a
+                // sign of life
                 // comes the word stands, at the age of what it was seen by.
                 words.put(id, before);
             }
@@ -143,10 +164,14 @@
             return; // the pace is judged by a few answers
         }
         double ratio = view.paceUs() / hint.taught().paceUs();
-        boolean held = bothAnswer ? ratio < HELD_FACTOR && ratio > 1 / HELD_FACTOR
-                : view.silent() == hint.taught().silent();
+        boolean held =
+                bothAnswer
+                        ? ratio < HELD_FACTOR && ratio > 1 / HELD_FACTOR
+                        : view.silent() == hint.taught().silent();
         counts.merge(held ? Count.HINTS_CONFIRMED : Count.HINTS_CONTRADICTED, 1L, Long::sum);
-        hint.taught().origins().forEach(origin -> standing.put(origin, Trust.after(standing(origin), held)));
+        hint.taught()
+                .origins()
+                .forEach(origin -> standing.put(origin, Trust.after(standing(origin), held)));
         while (standing.size() > MOST_ORIGINS) {
             standing.remove(standing.keySet().iterator().next());
         }
@@ -159,20 +184,27 @@
 
     /** What the module is to be told now; each call counts as told. */
     public List<Taught> hints(List<NodeFact> facts, Instant now) {
-        double average = hearsay.all().filter(word -> !word.silent()).mapToDouble(Word::paceUs).average()
-                .orElse(START_PACE_US);
+        double average =
+                hearsay.all()
+                        .filter(word -> !word.silent())
+                        .mapToDouble(Word::paceUs)
+                        .average()
+                        .orElse(START_PACE_US);
         List<Taught> hints = new ArrayList<>();
         for (NodeFact fact : facts) {
             String id = fact.known().id();
             if (!fact.view().ready() || hearsay.of(id).isEmpty()) {
                 continue;
             }
-            new Belief(hearsay.of(id), now, average, this::standing).taught(id, fact.view().startedUs())
-                    .filter(taught -> isNews(taught, fact.view(), now)).ifPresent(taught -> {
-                        given.put(id, new Given(taught, now, false));
-                        counts.merge(Count.HINTS_TAKEN, 1L, Long::sum);
-                        hints.add(taught);
-                    });
+            new Belief(hearsay.of(id), now, average, this::standing)
+                    .taught(id, fact.view().startedUs())
+                    .filter(taught -> isNews(taught, fact.view(), now))
+                    .ifPresent(
+                            taught -> {
+                                given.put(id, new Given(taught, now, false));
+                                counts.merge(Count.HINTS_TAKEN, 1L, Long::sum);
+                                hints.add(taught);
+                            });
         }
         return hints;
     }
@@ -181,19 +213,29 @@
     private boolean isNews(Taught taught, NodeView view, Instant now) {
         Given before = given.get(taught.node());
         boolean colder = taught.startedUs() > (before == null ? 0 : before.taught().startedUs());
-        boolean ownKnowledge = !view.guarded() && (view.silent()
-                || view.seenAgoUs() >= 0 && view.seenAgoUs() <= OWN_LIFE.toNanos() / 1000);
-        boolean newer = before == null || taught.newest().isAfter(before.taught().newest())
-                && Duration.between(before.at(), now).compareTo(HINT_GAP) >= 0;
+        boolean ownKnowledge =
+                !view.guarded()
+                        && (view.silent()
+                                || view.seenAgoUs() >= 0
+                                        && view.seenAgoUs() <= OWN_LIFE.toNanos() / 1000);
+        boolean newer =
+                before == null
+                        || taught.newest().isAfter(before.taught().newest())
+                                && Duration.between(before.at(), now).compareTo(HINT_GAP) >= 0;
         Instant seen = view.seenAgoUs() < 0 ? Instant.MIN : now.minusNanos(view.seenAgoUs() * 1000);
         return colder || !ownKnowledge && newer && taught.newest().isAfter(seen);
     }
 
-    /** What to tell others, the youngest first; a word of another goes on with its origin and its age. */
+    /**
+     * What to tell others, the youngest first; a word of another goes on with its origin and its
+     * age.
+     */
     public List<Word> words(Instant now, int most) {
         return Stream.concat(own.values().stream(), hearsay.all())
                 .filter(word -> word.age(now).compareTo(Trust.LIFE) <= 0)
-                .sorted(Comparator.comparing(Word::at).reversed()).limit(most).toList();
+                .sorted(Comparator.comparing(Word::at).reversed())
+                .limit(most)
+                .toList();
     }
 
     /** How many words of others are kept. */
--- a/src/main/java/cypressglade/learn/Taught.java
+++ b/src/main/java/cypressglade/learn/Taught.java
@@ -10,8 +10,16 @@
  * @param newest when the newest of the words that it rests on was found
  * @param origins whose words it rests on
  */
-public record Taught(String node, double paceUs, double backlogUs, double strain, double errors,
-        boolean silent, long startedUs, Instant newest, Set<Origin> origins) {
+public record Taught(
+        String node,
+        double paceUs,
+        double backlogUs,
+        double strain,
+        double errors,
+        boolean silent,
+        long startedUs,
+        Instant newest,
+        Set<Origin> origins) {
 
     /** The module's form of it, for the number that it knows the node by. */
     public Hint hint(long number) {
--- a/src/main/java/cypressglade/member/Census.java
+++ b/src/main/java/cypressglade/member/Census.java
@@ -5,9 +5,10 @@
 import java.util.TreeMap;
 
 /**
- * How many instances share what all together may send, and which of them this one is. Who was seen within
- * the hold counts: an instance that this one lost sight of may well be running on the far side of a
- * partition, and two halves that each took the whole would send a cold node twice what it can take.
+ * How many instances share what all together may send, and which of them this one is. Who was seen
+ * within the hold counts: an instance that this one lost sight of may well be running on the far
+ * side of a partition, and two halves that each took the whole would send a cold node twice what it
+ * can take.
  */
 public final class Census {
     private final String self;
@@ -15,14 +16,17 @@
     private final TreeMap<String, Instant> seen = new TreeMap<>();
 
     /** This one's rank among so many. */
-    public record Share(int rank, int heads) { }
+    public record Share(int rank, int heads) {}
 
     public Census(String self, Duration hold) {
         this.self = self;
         this.hold = hold;
     }
 
-    /** Takes in who is there now, this one among them or not; who left in order no longer counts at once. */
+    /**
+     * Takes in who is there now, this one among them or not; who left in order no longer counts at
+     * once.
+     */
     public Share count(Iterable<Member> members, Instant now) {
         for (Member member : members) {
             if (member.present()) {
--- a/src/main/java/cypressglade/member/Member.java
+++ b/src/main/java/cypressglade/member/Member.java
@@ -6,11 +6,18 @@
  * An instance as somebody sees it.
  *
  * @param life drawn by chance at each of its starts
- * @param incarnation grows only by the instance's own word, to overrule what others say of it (SWIM, 4.2)
+ * @param incarnation grows only by the instance's own word, to overrule what others say of it
+ *     (SWIM, 4.2)
  */
-public record Member(String name, InetSocketAddress address, long life, long incarnation, State state) {
+public record Member(
+        String name, InetSocketAddress address, long life, long incarnation, State state) {
     /** In the order in which one overrules another within an incarnation. */
-    public enum State { ALIVE, SUSPECT, DEAD, LEFT }
+    public enum State {
+        ALIVE,
+        SUSPECT,
+        DEAD,
+        LEFT
+    }
 
     /** Whether it counts as running. */
     public boolean present() {
@@ -27,7 +34,8 @@
 
     /** Whether this is later word than that on the same name. */
     boolean overrules(Member that) {
-        return incarnation != that.incarnation ? incarnation > that.incarnation
+        return incarnation != that.incarnation
+                ? incarnation > that.incarnation
                 : state.compareTo(that.state) > 0;
     }
 }
--- a/src/main/java/cypressglade/member/ReplayGuard.java
+++ b/src/main/java/cypressglade/member/ReplayGuard.java
@@ -5,10 +5,11 @@
 import java.util.Map;
 
 /**
- * Tells messages of now from recorded ones, without clocks. Each instance draws a number for its life at its
- * start; a message names the life that it is meant for and carries a number of its own, which counts once
- * (a sliding window as in RFC 4303, 3.4.3). Who does not know the life of a receiver yet is told it, and that
- * answer names the asker's life in turn, so a recording of either is of no use.
+ * Tells messages of now from recorded ones, without clocks. Each instance draws a number for its
+ * life at its start; a message names the life that it is meant for and carries a number of its own,
+ * which counts once (a sliding window as in RFC 4303, 3.4.3). Who does not know the life of a
+ * receiver yet is told it, and that answer names the asker's life in turn, so a recording of either
+ * is of no use.
  */
 public final class ReplayGuard {
     private static final int WINDOW = 64;
@@ -20,7 +21,11 @@
     private final Map<InetSocketAddress, Long> lives = bounded();
 
     /** What a message is. */
-    public enum Verdict { FRESH, UNKNOWN_LIFE, REPLAYED }
+    public enum Verdict {
+        FRESH,
+        UNKNOWN_LIFE,
+        REPLAYED
+    }
 
     private static final class Window {
         private long highest;
--- a/src/main/java/cypressglade/member/Rumours.java
+++ b/src/main/java/cypressglade/member/Rumours.java
@@ -8,18 +8,19 @@
 import java.util.TreeSet;
 
 /**
- * Changes still passed on: those told least go first, the newest among them, each a bounded number of times
- * (SWIM, 4.1). What was only read in another's whole list goes after what somebody found out: a thousand
- * members learned from one list would otherwise hold back a verdict once it has been told once, for as long
- * as any of them is untold (measured: the last of 999 members held a crashed one dead after 52 s, the median
- * after 9 s). Kept in that order, so that a message takes its news in time by how many it takes, not by how
- * many wait.
+ * Changes still passed on: those told least go first, the newest among them, each a bounded number
+ * of times (SWIM, 4.1). What was only read in another's whole list goes after what somebody found
+ * out: a thousand members learned from one list would otherwise hold back a verdict once it has
+ * been told once, for as long as any of them is untold (measured: the last of 999 members held a
+ * crashed one dead after 52 s, the median after 9 s). Kept in that order, so that a message takes
+ * its news in time by how many it takes, not by how many wait.
  */
 final class Rumours {
-    private static final Comparator<Rumour> ORDER = Comparator
-            .comparing((Rumour rumour) -> rumour.news.by().isEmpty())
-            .thenComparingInt((Rumour rumour) -> rumour.told)
-            .thenComparing(Comparator.comparingLong((Rumour rumour) -> rumour.number).reversed());
+    private static final Comparator<Rumour> ORDER =
+            Comparator.comparing((Rumour rumour) -> rumour.news.by().isEmpty())
+                    .thenComparingInt((Rumour rumour) -> rumour.told)
+                    .thenComparing(
+                            Comparator.comparingLong((Rumour rumour) -> rumour.number).reversed());
 
     private final Map<String, Rumour> byName = new HashMap<>();
     private final TreeSet<Rumour> waiting = new TreeSet<>(ORDER);
--- a/src/main/java/cypressglade/member/Swim.java
+++ b/src/main/java/cypressglade/member/Swim.java
@@ -8,7 +8,6 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -18,19 +17,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One instance's side of the membership protocol. Its owner calls {@link #tick} when {@link #due} has come
- * and {@link #receive} for each message; both may send through {@link Out}. Not safe for use by several
- * threads.
+ * One instance's side of the membership protocol. Its owner calls {@link #tick} when {@link #due}
+ * has come and {@link #receive} for each message; both may send through {@link Out}. Not safe for
+ * use by several threads.
  *
- * <p>Each period one member is pinged, in an order shuffled anew each round, so that each is pinged once in a
- * round (SWIM, 4.3). Who does not answer is asked for through others; who answers none of them is suspected,
- * and taken for dead if it does not overrule that in time. Who stands accused is told with every message that
- * goes to it, as it can clear itself only when it knows.
+ * <p>Each period one member is pinged, in an order shuffled anew each round, so that each is pinged
+ * once in a round (SWIM, 4.3). Who does not answer is asked for through others; who answers none of
+ * them is suspected, and taken for dead if it does not overrule that in time. Who stands accused is
+ * told with every message that goes to it, as it can clear itself only when it knows.
  *
- * <p>After Lifeguard, the period and the wait for an answer grow with what this member itself missed
- * ({@link LocalHealth}); helpers that hear nothing in time say so (a nack), so that a prober whose helpers
- * are silent too takes itself for the slow one. A name in use at one address is not taken by another life at
- * another address while the first is present.
+ * <p>After Lifeguard, the period and the wait for an answer grow with what this member itself
+ * missed ({@link LocalHealth}); helpers that hear nothing in time say so (a nack), so that a prober
+ * whose helpers are silent too takes itself for the slow one. A name in use at one address is not
+ * taken by another life at another address while the first is present.
  */
 public final class Swim {
     private static final int MOST_RELAYS = 64;
@@ -63,15 +62,19 @@
     public interface Out {
         void send(InetSocketAddress to, Message message);
 
-        /** Both sides are to hand each other their whole lists: {@link Swim#list} and {@link Swim#merge}. */
+        /**
+         * Both sides are to hand each other their whole lists: {@link Swim#list} and {@link
+         * Swim#merge}.
+         */
         void exchange(InetSocketAddress with);
 
         /** What is known of a member has changed. */
         void changed(Member member);
 
         /**
-         * Word of {@code claim} was not taken: its name is in use by {@code known}, another process. Where
-         * that name is this member's own, either the claim or {@code known} is this member.
+         * Word of {@code claim} was not taken: its name is in use by {@code known}, another
+         * process. Where that name is this member's own, either the claim or {@code known} is this
+         * member.
          */
         default void refused(Member known, Member claim) {
             // nothing by default; the owner logs it
@@ -91,13 +94,14 @@
     }
 
     /**
-     * The one ping of this period: sent, sent again after the wait for an answer, and after another a third
-     * time and asked of others. At 5% loss a second ping spares nine of ten indirect ones, which cost four
-     * messages each. The third spares four of five suspicions at 10% loss, which cost all members: with two,
-     * a thousand members made more news than their messages hold, and refutations missed some of them (false
-     * dead).
+     * The one ping of this period: sent, sent again after the wait for an answer, and after another
+     * a third time and asked of others. At 5% loss a second ping spares nine of ten indirect ones,
+     * which cost four messages each. The third spares four of five suspicions at 10% loss, which
+     * cost all members: with two, a thousand members made more news than their messages hold, and
+     * refutations missed some of them (false dead).
      */
-    private record Probe(long number, String target, Instant nextAt, int tries, int helpers, int nacks) {
+    private record Probe(
+            long number, String target, Instant nextAt, int tries, int helpers, int nacks) {
         private static final int DIRECT = 2;
         private static final int DONE = 3;
 
@@ -110,14 +114,25 @@
         }
     }
 
-    /** A ping that was sent for another; a nack goes back at {@code nackAt} where no answer came by then. */
-    private record Relay(InetSocketAddress asker, long number, Instant until, Instant nackAt) { }
+    /**
+     * A ping that was sent for another; a nack goes back at {@code nackAt} where no answer came by
+     * then.
+     */
+    private record Relay(InetSocketAddress asker, long number, Instant until, Instant nackAt) {}
 
-    /** Of the wait for an answer, the part after which a helper that heard nothing says so (Lifeguard). */
+    /**
+     * Of the wait for an answer, the part after which a helper that heard nothing says so
+     * (Lifeguard).
+     */
     private static final double NACK_PART = 0.8;
 
     /** Knows itself and where others may be found; the first tick joins them. */
-    public Swim(Member self, List<InetSocketAddress> seeds, Timing timing, RandomGenerator random, Out out,
+    public Swim(
+            Member self,
+            List<InetSocketAddress> seeds,
+            Timing timing,
+            RandomGenerator random,
+            Out out,
             Instant now) {
         this.self = self;
         this.seeds = seeds.stream().filter(seed -> !seed.equals(self.address())).toList();
@@ -203,11 +218,14 @@
             nextProbe = now.plus(health.scale(timing.period()));
             nextGossip = now.plus(timing.period());
         }
-        if (!now.isBefore(nextGossip)) { // a slow member's probes are far apart, its news must not be
-            pick(present(), 1, Set.of()).forEach(to -> send(to.address(), to.name(), Kind.ACK, 0, "", null));
+        if (!now.isBefore(
+                nextGossip)) { // a slow member's probes are far apart, its news must not be
+            pick(present(), 1, Set.of())
+                    .forEach(to -> send(to.address(), to.name(), Kind.ACK, 0, "", null));
             nextGossip = now.plus(timing.period());
         }
-        if (!now.isBefore(nextJudge)) { // verdicts keep their time: only the probes of a slow member wait
+        if (!now.isBefore(
+                nextJudge)) { // verdicts keep their time: only the probes of a slow member wait
             judge(now);
             nextJudge = now.plus(timing.period());
         }
@@ -222,16 +240,17 @@
     }
 
     /**
-     * Guards against a process that was paused (a long collection, SIGSTOP) taking the silence of its own
-     * pause for that of others: what came meanwhile is not read yet. Its suspicions have as long to be
-     * refuted as if the pause had not been, its open probe is void, and its health says that it is the slow
-     * one.
+     * Guards against a process that was paused (a long collection, SIGSTOP) taking the silence of
+     * its own pause for that of others: what came meanwhile is not read yet. Its suspicions have as
+     * long to be refuted as if the pause had not been, its open probe is void, and its health says
+     * that it is the slow one.
      */
     private void stoodStill(Duration late) {
         stalls++;
         health.probeFailed();
         probe = null;
-        others.values().stream().filter(entry -> entry.member.state() == State.SUSPECT)
+        others.values().stream()
+                .filter(entry -> entry.member.state() == State.SUSPECT)
                 .forEach(entry -> entry.since = entry.since.plus(late));
     }
 
@@ -257,8 +276,16 @@
                 if (relays.size() < MOST_RELAYS && message.targetAt() != null) {
                     long number = ++lastNumber;
                     Instant nackAt = now.plusNanos((long) (NACK_PART * timing.answer().toNanos()));
-                    relays.put(number, new Relay(from, message.number(), now.plus(timing.period()), nackAt));
-                    send(message.targetAt(), message.target(), Kind.PING, number, message.target(), null);
+                    relays.put(
+                            number,
+                            new Relay(from, message.number(), now.plus(timing.period()), nackAt));
+                    send(
+                            message.targetAt(),
+                            message.target(),
+                            Kind.PING,
+                            number,
+                            message.target(),
+                            null);
                 }
             }
             case ACK -> {
@@ -280,24 +307,31 @@
     }
 
     /**
-     * Takes in another's whole list. Whom it holds dead and this member holds present is suspected first, as
-     * in memberlist's push-pull: after a split each side's list holds the other side dead, and who is there
-     * can say so before anybody takes it for dead again.
+     * Takes in another's whole list. Whom it holds dead and this member holds present is suspected
+     * first, as in memberlist's push-pull: after a split each side's list holds the other side
+     * dead, and who is there can say so before anybody takes it for dead again.
      */
     public void merge(Collection<Member> members, Instant now) {
         members.forEach(member -> apply(doubted(new News(member, ""), true, now), now));
     }
 
     /**
-     * Word that somebody present is dead is taken as a suspicion where it comes from across a partition, or
-     * where this member has heard from that one since the least time that a suspicion takes: a verdict that
-     * was told within one side of a split still travels when it heals, and would make whoever hears it flap.
+     * Word that somebody present is dead is taken as a suspicion where it comes from across a
+     * partition, or where this member has heard from that one since the least time that a suspicion
+     * takes: a verdict that was told within one side of a split still travels when it heals, and
+     * would make whoever hears it flap.
      */
     private News doubted(News news, boolean across, Instant now) {
         Member told = news.member();
         Entry entry = told.state() == State.DEAD ? others.get(told.name()) : null;
-        boolean doubt = entry != null && entry.member.present() && (across || entry.heard.isAfter(
-                now.minus(timing.suspicion(others.size(), Timing.SHARED_BY))));
+        boolean doubt =
+                entry != null
+                        && entry.member.present()
+                        && (across
+                                || entry.heard.isAfter(
+                                        now.minus(
+                                                timing.suspicion(
+                                                        others.size(), Timing.SHARED_BY))));
         return doubt ? new News(told.as(State.SUSPECT), news.by()) : news;
     }
 
@@ -323,8 +357,14 @@
             Entry entry = others.get(round.remove(round.size() - 1));
             if (entry != null && entry.member.present()) {
                 Member target = entry.member;
-                probe = new Probe(++lastNumber, target.name(), now.plus(health.scale(timing.answer())),
-                        1, 0, 0);
+                probe =
+                        new Probe(
+                                ++lastNumber,
+                                target.name(),
+                                now.plus(health.scale(timing.answer())),
+                                1,
+                                0,
+                                0);
                 send(target.address(), target.name(), Kind.PING, probe.number, target.name(), null);
                 return;
             }
@@ -332,8 +372,14 @@
     }
 
     private void tryAgain(Instant now) {
-        probe = new Probe(probe.number, probe.target, now.plus(health.scale(timing.answer())),
-                probe.tries + 1, probe.helpers, probe.nacks);
+        probe =
+                new Probe(
+                        probe.number,
+                        probe.target,
+                        now.plus(health.scale(timing.answer())),
+                        probe.tries + 1,
+                        probe.helpers,
+                        probe.nacks);
         Entry target = others.get(probe.target);
         if (target == null) {
             return;
@@ -341,9 +387,21 @@
         send(target.member.address(), probe.target, Kind.PING, probe.number, probe.target, null);
         if (probe.tries > Probe.DIRECT) {
             List<Member> helpers = pick(present(), timing.helpers(), Set.of(probe.target));
-            probe = new Probe(probe.number, probe.target, probe.nextAt, probe.tries, helpers.size(), 0);
+            probe =
+                    new Probe(
+                            probe.number,
+                            probe.target,
+                            probe.nextAt,
+                            probe.tries,
+                            helpers.size(),
+                            0);
             for (Member helper : helpers) {
-                send(helper.address(), helper.name(), Kind.PING_FOR, probe.number, probe.target,
+                send(
+                        helper.address(),
+                        helper.name(),
+                        Kind.PING_FOR,
+                        probe.number,
+                        probe.target,
                         target.member.address());
             }
         }
@@ -364,7 +422,8 @@
         Entry target = probe == null ? null : others.get(probe.target);
         if (probe != null) {
             health.probeFailed();
-            if (probe.nacks < probe.helpers) { // helpers that would have said so did not: the fault is here
+            if (probe.nacks
+                    < probe.helpers) { // helpers that would have said so did not: the fault is here
                 health.nackMissed();
             }
         }
@@ -378,33 +437,44 @@
     private void judge(Instant now) {
         List<Entry> accused = new ArrayList<>();
         List<Entry> dead = new ArrayList<>();
-        others.values().removeIf(entry -> {
-            Member member = entry.member;
-            if (member.state() == State.SUSPECT) {
-                accused.add(entry);
-            } else if (member.state() == State.DEAD) {
-                dead.add(entry);
-            }
-            return member.state() == State.LEFT && entry.since.plus(timing.keepDead()).isBefore(now)
-                    || member.state() == State.DEAD && entry.since.plus(timing.keepLost()).isBefore(now);
-        });
+        others.values()
+                .removeIf(
+                        entry -> {
+                            Member member = entry.member;
+                            if (member.state() == State.SUSPECT) {
+                                accused.add(entry);
+                            } else if (member.state() == State.DEAD) {
+                                dead.add(entry);
+                            }
+                            return member.state() == State.LEFT
+                                            && entry.since.plus(timing.keepDead()).isBefore(now)
+                                    || member.state() == State.DEAD
+                                            && entry.since.plus(timing.keepLost()).isBefore(now);
+                        });
         for (Entry entry : accused) {
-            if (!entry.since.plus(timing.suspicion(others.size(), entry.accusers.size() - 1)).isAfter(now)) {
+            if (!entry.since
+                    .plus(timing.suspicion(others.size(), entry.accusers.size() - 1))
+                    .isAfter(now)) {
                 apply(new News(entry.member.as(State.DEAD), self.name()), now);
             }
         }
         if (dead.size() > MOST_LOST) {
             dead.sort(Comparator.comparing((Entry entry) -> entry.since).reversed());
-            dead.subList(MOST_LOST, dead.size()).forEach(entry -> others.remove(entry.member.name()));
+            dead.subList(MOST_LOST, dead.size())
+                    .forEach(entry -> others.remove(entry.member.name()));
         }
     }
 
-    /** Knocks at one that was lost or at a seed that is nobody's: a partition loses each side the other. */
+    /**
+     * Knocks at one that was lost or at a seed that is nobody's: a partition loses each side the
+     * other.
+     */
     private void reconnect() {
         Set<InetSocketAddress> known = new HashSet<>();
         present().forEach(member -> known.add(member.address()));
         List<InetSocketAddress> lost = new ArrayList<>(seeds);
-        others.values().stream().filter(entry -> entry.member.state() == State.DEAD)
+        others.values().stream()
+                .filter(entry -> entry.member.state() == State.DEAD)
                 .forEach(entry -> lost.add(entry.member.address()));
         lost.removeAll(known);
         if (known.isEmpty()) { // alone: all seeds at once, as the start waits for it
@@ -415,8 +485,11 @@
     }
 
     private void knock(InetSocketAddress at) {
-        Optional<Member> there = others.values().stream().map(entry -> entry.member)
-                .filter(member -> member.address().equals(at)).findFirst();
+        Optional<Member> there =
+                others.values().stream()
+                        .map(entry -> entry.member)
+                        .filter(member -> member.address().equals(at))
+                        .findFirst();
         send(at, there.map(Member::name).orElse(""), Kind.PING, ++lastNumber, "", null);
     }
 
@@ -430,12 +503,20 @@
         return picked;
     }
 
-    private void send(InetSocketAddress to, String name, Kind kind, long number, String target,
+    private void send(
+            InetSocketAddress to,
+            String name,
+            Kind kind,
+            long number,
+            String target,
             InetSocketAddress targetAt) {
         List<News> news = new ArrayList<>(List.of(new News(self, self.name())));
         Entry receiver = others.get(name);
         if (receiver != null && receiver.member.state() != State.ALIVE) {
-            news.add(new News(receiver.member, self.name())); // it can only clear itself of what it knows
+            news.add(
+                    new News(
+                            receiver.member,
+                            self.name())); // it can only clear itself of what it knows
         }
         news.addAll(rumours.next(Timing.MOST_NEWS, timing.passOn(others.size() + 1)));
         out.send(to, new Message(kind, number, target, targetAt, news));
@@ -450,9 +531,13 @@
             return;
         }
         Entry entry = others.get(told.name());
-        if (entry != null && told.present() && told.life() != entry.member.life() && entry.member.present()
+        if (entry != null
+                && told.present()
+                && told.life() != entry.member.life()
+                && entry.member.present()
                 && !told.address().equals(entry.member.address())) {
-            namesRefused++; // another process under a name in use; a restart comes at the same address
+            namesRefused++; // another process under a name in use; a restart comes at the same
+            // address
             out.refused(entry.member, told);
             return;
         }
@@ -479,8 +564,10 @@
                 round.add(random.nextInt(round.size() + 1), told.name());
                 out.exchange(told.address()); // a partition may have healed, with many behind it
             }
-        } else if (told.state() == State.SUSPECT && told.incarnation() == entry.member.incarnation()
-                && entry.member.state() == State.SUSPECT && entry.accusers.size() <= Timing.SHARED_BY
+        } else if (told.state() == State.SUSPECT
+                && told.incarnation() == entry.member.incarnation()
+                && entry.member.state() == State.SUSPECT
+                && entry.accusers.size() <= Timing.SHARED_BY
                 && accuse(entry, news)) {
             rumours.add(news); // one more accuser: the others are to count it too
         }
@@ -488,7 +575,9 @@
 
     /** Whether there is one more who found the member silent. */
     private static boolean accuse(Entry entry, News news) {
-        return entry.member.state() == State.SUSPECT && !news.by().isEmpty() && entry.accusers.add(news.by());
+        return entry.member.state() == State.SUSPECT
+                && !news.by().isEmpty()
+                && entry.accusers.add(news.by());
     }
 
     private void spread(News news) {
@@ -496,7 +585,10 @@
         out.changed(news.member());
     }
 
-    /** Overrules whatever is told of this instance and is not so, be it of its life before a restart. */
+    /**
+     * Overrules whatever is told of this instance and is not so, be it of its life before a
+     * restart.
+     */
     private void applyToSelf(Member told) {
         boolean other = told.life() != self.life();
         if (other && told.present() && !told.address().equals(self.address())) {
@@ -507,7 +599,8 @@
         if (other && told.state() == State.ALIVE && told.incarnation() > self.incarnation()) {
             conflicts++; // its former life, or another instance under the same name
         }
-        if (told.incarnation() >= self.incarnation() && (other || told.state() != State.ALIVE)
+        if (told.incarnation() >= self.incarnation()
+                && (other || told.state() != State.ALIVE)
                 && self.state() != State.LEFT) {
             if (!other) {
                 health.refuted(); // accused while alive: this member may be the slow one
--- a/src/main/java/cypressglade/member/Timing.java
+++ b/src/main/java/cypressglade/member/Timing.java
@@ -6,30 +6,43 @@
  * The figures of the protocol.
  *
  * @param period between two probes of an instance, each of another member
- * @param answer what a direct ping is waited for, twice, before others are asked; under a third of the period
+ * @param answer what a direct ping is waited for, twice, before others are asked; under a third of
+ *     the period
  * @param helpers how many others are asked
  * @param mostMembers how many are known at most
  * @param reconnect between two tries to reach one that is lost, or a seed
  */
-public record Timing(Duration period, Duration answer, int helpers, int mostMembers, Duration reconnect) {
+public record Timing(
+        Duration period, Duration answer, int helpers, int mostMembers, Duration reconnect) {
     /** News that one message carries, beside the sender: some 60 bytes each. */
     static final int MOST_NEWS = 8;
+
     /** A change is passed on so often, times the logarithm of the number of members. */
     private static final int PASS_ON = 3;
+
     /** A suspicion that nobody shares is held for so many periods, times that logarithm. */
     private static final int SUSPECT_MOST = 4;
+
     /**
-     * The same for one that enough others share (Dadgar, Phillips, Currey, "Lifeguard", 2018): no less than
-     * the word's way to the accused and the way of its own word to all, some 0.6 of the logarithm each at 10%
-     * loss.
+     * The same for one that enough others share (Dadgar, Phillips, Currey, "Lifeguard", 2018): no
+     * less than the word's way to the accused and the way of its own word to all, some 0.6 of the
+     * logarithm each at 10% loss.
      */
     private static final int SUSPECT_LEAST = 2;
+
     static final int SHARED_BY = 3;
-    /** Members, in steps of which whole lists are exchanged less often, so that their cost stays flat. */
+
+    /**
+     * Members, in steps of which whole lists are exchanged less often, so that their cost stays
+     * flat.
+     */
     private static final int EXCHANGE_STEP = 16;
+
     private static final int EXCHANGE_PERIODS = 15;
+
     /** Periods that what became of a member is kept, so that old word does not bring it back. */
     private static final int KEEP_DEAD = 120;
+
     private static final int KEEP_LOST = 1800;
 
     /** As operated: a period of a second. */
@@ -37,12 +50,19 @@
         return every(Duration.ofSeconds(1));
     }
 
-    /** The standard proportions at another period: 0.3 of it for a direct answer, ten between knocks. */
+    /**
+     * The standard proportions at another period: 0.3 of it for a direct answer, ten between
+     * knocks.
+     */
     public static Timing every(Duration period) {
-        return new Timing(period, period.multipliedBy(3).dividedBy(10), 3, 512, period.multipliedBy(10));
+        return new Timing(
+                period, period.multipliedBy(3).dividedBy(10), 3, 512, period.multipliedBy(10));
     }
 
-    /** Bits of the number of members: rounds that news needs to reach them all, {@code ⌊log₂ n⌋ + 1}. */
+    /**
+     * Bits of the number of members: rounds that news needs to reach them all, {@code ⌊log₂ n⌋ +
+     * 1}.
+     */
     public static int log(int members) {
         return 32 - Integer.numberOfLeadingZeros(Math.max(1, members));
     }
@@ -55,7 +75,9 @@
     public Duration suspicion(int members, int sharers) {
         double most = SUSPECT_MOST * log(members);
         double least = SUSPECT_LEAST * log(members);
-        double part = Math.log(Math.max(0, Math.min(SHARED_BY, sharers)) + 1.0) / Math.log(SHARED_BY + 1.0);
+        double part =
+                Math.log(Math.max(0, Math.min(SHARED_BY, sharers)) + 1.0)
+                        / Math.log(SHARED_BY + 1.0);
         return Duration.ofNanos((long) ((most - part * (most - least)) * period.toNanos()));
     }
 
--- a/src/main/java/cypressglade/nbd/ClientHandshake.java
+++ b/src/main/java/cypressglade/nbd/ClientHandshake.java
@@ -5,7 +5,10 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** This program's side of a handshake with a node: fixed newstyle, structured replies where it has them. */
+/**
+ * This program's side of a handshake with a node: fixed newstyle, structured replies where it has
+ * them.
+ */
 final class ClientHandshake implements Wire.Listener {
     private static final int MOST_OPTION_REPLY = 64 * 1024;
     private static final int GO_FIXED = 6;
@@ -61,8 +64,13 @@
 
     private void option(int number, ByteBuffer data) {
         option = number;
-        wire.send(ByteBuffer.allocate(Nbd.OPTION_HEADER + data.remaining()).putLong(Nbd.IHAVEOPT)
-                .putInt(number).putInt(data.remaining()).put(data).flip());
+        wire.send(
+                ByteBuffer.allocate(Nbd.OPTION_HEADER + data.remaining())
+                        .putLong(Nbd.IHAVEOPT)
+                        .putInt(number)
+                        .putInt(data.remaining())
+                        .put(data)
+                        .flip());
     }
 
     private void replyHeader(ByteBuffer piece) throws IOException {
@@ -72,16 +80,23 @@
         int type = piece.getInt();
         int length = piece.getInt();
         if (length < 0 || length > MOST_OPTION_REPLY) {
-            throw new IOException("an option reply of " + Integer.toUnsignedString(length) + " bytes");
+            throw new IOException(
+                    "an option reply of " + Integer.toUnsignedString(length) + " bytes");
         }
         pieces.expect(length, data -> reply(type, data));
     }
 
     private void reply(int type, ByteBuffer data) throws IOException {
         byte[] name = export.name().getBytes(StandardCharsets.UTF_8);
-        if (option == Nbd.OPT_STRUCTURED_REPLY && (type == Nbd.REP_ACK || type == Nbd.REP_ERR_UNSUP)) {
-            option(Nbd.OPT_GO, ByteBuffer.allocate(GO_FIXED + name.length).putInt(name.length).put(name)
-                    .putShort((short) 0).flip());
+        if (option == Nbd.OPT_STRUCTURED_REPLY
+                && (type == Nbd.REP_ACK || type == Nbd.REP_ERR_UNSUP)) {
+            option(
+                    Nbd.OPT_GO,
+                    ByteBuffer.allocate(GO_FIXED + name.length)
+                            .putInt(name.length)
+                            .put(name)
+                            .putShort((short) 0)
+                            .flip());
         } else if (option == Nbd.OPT_GO && type == Nbd.REP_INFO) {
             if (data.remaining() >= 12 && data.getShort() == Nbd.INFO_EXPORT) {
                 size(data.getLong());
@@ -91,13 +106,16 @@
             return;
         } else if (option == Nbd.OPT_GO && type == Nbd.REP_ERR_UNSUP) {
             option(Nbd.OPT_EXPORT_NAME, ByteBuffer.wrap(name));
-            pieces.expect(10 + (noZeroes ? 0 : Nbd.EXPORT_NAME_ZEROES), answer -> {
-                size(answer.getLong());
-                done = true;
-            });
+            pieces.expect(
+                    10 + (noZeroes ? 0 : Nbd.EXPORT_NAME_ZEROES),
+                    answer -> {
+                        size(answer.getLong());
+                        done = true;
+                    });
             return;
         } else {
-            throw new IOException("option " + option + " was answered " + Integer.toHexString(type));
+            throw new IOException(
+                    "option " + option + " was answered " + Integer.toHexString(type));
         }
         pieces.expect(Nbd.OPTION_REPLY_HEADER, this::replyHeader);
     }
--- a/src/main/java/cypressglade/nbd/Nbd.java
+++ b/src/main/java/cypressglade/nbd/Nbd.java
@@ -62,5 +62,5 @@
     static final int EXPORT_NAME_ZEROES = 124;
     static final int MOST_NAME = 4096;
 
-    private Nbd() { }
+    private Nbd() {}
 }
--- a/src/main/java/cypressglade/nbd/NbdListener.java
+++ b/src/main/java/cypressglade/nbd/NbdListener.java
@@ -38,8 +38,16 @@
     private volatile boolean leaving;
     private volatile boolean refusing;
 
-    public NbdListener(Loop loop, NbdConfig config, Settings settings, Engine engine, NodeDirectory directory,
-            Counters counters, RequestPool pool, NbdNodeLink link) throws IOException {
+    public NbdListener(
+            Loop loop,
+            NbdConfig config,
+            Settings settings,
+            Engine engine,
+            NodeDirectory directory,
+            Counters counters,
+            RequestPool pool,
+            NbdNodeLink link)
+            throws IOException {
         this.loop = loop;
         this.config = config;
         this.settings = settings;
@@ -82,19 +90,28 @@
             return;
         }
         clients.add(wire);
-        ServerHandshake handshake = new ServerHandshake(wire, config, this::drains, (export, structured) ->
-                new Transmission(this, wire, export, structured), () -> left(wire));
-        loop.after(HANDSHAKE_LIMIT, () -> {
-            if (!handshake.over()) {
-                left(wire);
-                wire.close();
-            }
-        });
+        ServerHandshake handshake =
+                new ServerHandshake(
+                        wire,
+                        config,
+                        this::drains,
+                        (export, structured) -> new Transmission(this, wire, export, structured),
+                        () -> left(wire));
+        loop.after(
+                HANDSHAKE_LIMIT,
+                () -> {
+                    if (!handshake.over()) {
+                        left(wire);
+                        wire.close();
+                    }
+                });
     }
 
     private boolean drains(Optional<Export> export) {
-        return leaving || export.isPresent() && export.get().extents().stream()
-                .anyMatch(extent -> directory.draining(extent.shard()));
+        return leaving
+                || export.isPresent()
+                        && export.get().extents().stream()
+                                .anyMatch(extent -> directory.draining(extent.shard()));
     }
 
     void left(Wire wire) {
@@ -130,7 +147,8 @@
         loop.execute(task);
     }
 
-    RequestLife<NbdWork> life(IoRequest request, NbdWork work, Caller caller, NodeLink<NbdWork> way) {
+    RequestLife<NbdWork> life(
+            IoRequest request, NbdWork work, Caller caller, NodeLink<NbdWork> way) {
         return new RequestLife<>(engine, counters, request, work, caller, way);
     }
 
--- a/src/main/java/cypressglade/nbd/NbdNodeLink.java
+++ b/src/main/java/cypressglade/nbd/NbdNodeLink.java
@@ -40,11 +40,15 @@
     }
 
     @Override
-    public Attempt send(long node, NbdWork work, Instant until, BooleanSupplier wanted,
+    public Attempt send(
+            long node,
+            NbdWork work,
+            Instant until,
+            BooleanSupplier wanted,
             Consumer<Ending> ended) {
         if (work.onlyNode() != NbdWork.ANY_NODE && work.onlyNode() != node) {
             ended.accept(Ending.of(Status.MOOT)); // the node that wrote is not there any more
-            return () -> { };
+            return () -> {};
         }
         return new Command(node, work, until, wanted, ended).start();
     }
@@ -58,7 +62,11 @@
     private abstract class NbdExchange extends NodePool.Exchange {
         private final NbdConfig.Export export;
 
-        NbdExchange(long node, NbdConfig.Export export, Instant until, BooleanSupplier wanted,
+        NbdExchange(
+                long node,
+                NbdConfig.Export export,
+                Instant until,
+                BooleanSupplier wanted,
                 Consumer<Ending> ended) {
             pool.super(node, until, wanted, ended);
             this.export = export;
@@ -85,7 +93,12 @@
         private final ReplyParser parser;
         private final long cookie;
 
-        Command(long node, NbdWork work, Instant until, BooleanSupplier wanted, Consumer<Ending> ended) {
+        Command(
+                long node,
+                NbdWork work,
+                Instant until,
+                BooleanSupplier wanted,
+                Consumer<Ending> ended) {
             super(node, work.export(), until, wanted, ended);
             this.work = work;
             synchronized (NbdNodeLink.this) {
@@ -118,8 +131,12 @@
     /** A sign of life: a whole handshake, after which the connection is left in the proper way. */
     private final class Handshake extends NbdExchange {
         Handshake(long node, Consumer<Ending> ended) {
-            super(node, config.exports().get(0), Time.now().plus(NodePool.PROBE_LIMIT),
-                    () -> true, ended);
+            super(
+                    node,
+                    config.exports().get(0),
+                    Time.now().plus(NodePool.PROBE_LIMIT),
+                    () -> true,
+                    ended);
         }
 
         @Override
@@ -129,7 +146,13 @@
 
         @Override
         protected List<ByteBuffer> message(Duration left) {
-            return new NbdWork(config.exports().get(0), Nbd.CMD_DISC, 0, 0, new byte[0], NbdWork.ANY_NODE)
+            return new NbdWork(
+                            config.exports().get(0),
+                            Nbd.CMD_DISC,
+                            0,
+                            0,
+                            new byte[0],
+                            NbdWork.ANY_NODE)
                     .message(0);
         }
 
--- a/src/main/java/cypressglade/nbd/NbdWork.java
+++ b/src/main/java/cypressglade/nbd/NbdWork.java
@@ -4,9 +4,11 @@
 import java.util.List;
 
 /** One command as it goes to one node: a part of a client's command, inside one shard. */
-record NbdWork(NbdConfig.Export export, int type, long offset, int length, byte[] data, long onlyNode) {
+record NbdWork(
+        NbdConfig.Export export, int type, long offset, int length, byte[] data, long onlyNode) {
     /** For {@code onlyNode}: whichever node holds the shard. */
     static final long ANY_NODE = 0;
+
     private static final byte[] NONE = {};
 
     static NbdWork read(NbdConfig.Export export, long offset, int length) {
@@ -23,8 +25,15 @@
     }
 
     List<ByteBuffer> message(long cookie) {
-        return List.of(ByteBuffer.allocate(Nbd.REQUEST_HEADER).putInt(Nbd.REQUEST_MAGIC).putShort((short) 0)
-                .putShort((short) type).putLong(cookie).putLong(offset).putInt(length).flip(),
+        return List.of(
+                ByteBuffer.allocate(Nbd.REQUEST_HEADER)
+                        .putInt(Nbd.REQUEST_MAGIC)
+                        .putShort((short) 0)
+                        .putShort((short) type)
+                        .putLong(cookie)
+                        .putLong(offset)
+                        .putInt(length)
+                        .flip(),
                 ByteBuffer.wrap(data));
     }
 }
--- a/src/main/java/cypressglade/nbd/Pieces.java
+++ b/src/main/java/cypressglade/nbd/Pieces.java
@@ -3,7 +3,9 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** Gathers a stream, split at any byte, into pieces whose lengths the reader names one at a time. */
+/**
+ * Gathers a stream, split at any byte, into pieces whose lengths the reader names one at a time.
+ */
 final class Pieces {
     private ByteBuffer piece = ByteBuffer.allocate(0);
     private Step step;
--- a/src/main/java/cypressglade/nbd/ReplyParser.java
+++ b/src/main/java/cypressglade/nbd/ReplyParser.java
@@ -56,10 +56,12 @@
         if (failed || data.length == 0) {
             done = true;
         } else {
-            pieces.expect(data.length, body -> {
-                put(0, body);
-                done = true;
-            });
+            pieces.expect(
+                    data.length,
+                    body -> {
+                        put(0, body);
+                        done = true;
+                    });
         }
     }
 
@@ -68,23 +70,29 @@
         int type = Short.toUnsignedInt(piece.getShort());
         ours(piece.getLong());
         int length = piece.getInt();
-        int most = type == Nbd.REPLY_OFFSET_DATA ? 8 + data.length : type == Nbd.REPLY_OFFSET_HOLE ? 12
-                : type == Nbd.REPLY_NONE ? 0 : 6 + MOST_MESSAGE + 8;
+        int most =
+                type == Nbd.REPLY_OFFSET_DATA
+                        ? 8 + data.length
+                        : type == Nbd.REPLY_OFFSET_HOLE
+                                ? 12
+                                : type == Nbd.REPLY_NONE ? 0 : 6 + MOST_MESSAGE + 8;
         if (length < 0 || length > most) {
             throw new IOException("a chunk of " + Integer.toUnsignedString(length) + " bytes");
         }
-        pieces.expect(length, body -> {
-            content(type, body);
-            done = (flags & Nbd.REPLY_FLAG_DONE) != 0;
-            if (!done) {
-                pieces.expect(4, this::magic);
-            }
-        });
+        pieces.expect(
+                length,
+                body -> {
+                    content(type, body);
+                    done = (flags & Nbd.REPLY_FLAG_DONE) != 0;
+                    if (!done) {
+                        pieces.expect(4, this::magic);
+                    }
+                });
     }
 
     private void content(int type, ByteBuffer body) throws IOException {
         switch (type) {
-            case Nbd.REPLY_NONE -> { }
+            case Nbd.REPLY_NONE -> {}
             case Nbd.REPLY_OFFSET_DATA -> {
                 need(body, 9);
                 put(body.getLong() - work.offset(), body);
--- a/src/main/java/cypressglade/nbd/ServerHandshake.java
+++ b/src/main/java/cypressglade/nbd/ServerHandshake.java
@@ -31,8 +31,15 @@
         Wire.Listener open(Export export, boolean structured);
     }
 
-    /** {@code drains} tells whether this program (no export) or what holds the export is shutting down. */
-    ServerHandshake(Wire wire, NbdConfig config, Predicate<Optional<Export>> drains, Opened opened,
+    /**
+     * {@code drains} tells whether this program (no export) or what holds the export is shutting
+     * down.
+     */
+    ServerHandshake(
+            Wire wire,
+            NbdConfig config,
+            Predicate<Optional<Export>> drains,
+            Opened opened,
             Runnable left) {
         this.wire = wire;
         this.config = config;
@@ -41,8 +48,12 @@
         this.left = left;
         pieces.expect(4, this::clientFlags);
         wire.listen(this);
-        wire.send(ByteBuffer.allocate(18).putLong(Nbd.NBDMAGIC).putLong(Nbd.IHAVEOPT)
-                .putShort((short) (Nbd.FLAG_FIXED_NEWSTYLE | Nbd.FLAG_NO_ZEROES)).flip());
+        wire.send(
+                ByteBuffer.allocate(18)
+                        .putLong(Nbd.NBDMAGIC)
+                        .putLong(Nbd.IHAVEOPT)
+                        .putShort((short) (Nbd.FLAG_FIXED_NEWSTYLE | Nbd.FLAG_NO_ZEROES))
+                        .flip());
     }
 
     boolean over() {
@@ -127,7 +138,9 @@
     private void list() {
         for (Export export : config.exports()) {
             byte[] name = export.name().getBytes(StandardCharsets.UTF_8);
-            reply(Nbd.OPT_LIST, Nbd.REP_SERVER,
+            reply(
+                    Nbd.OPT_LIST,
+                    Nbd.REP_SERVER,
                     ByteBuffer.allocate(4 + name.length).putInt(name.length).put(name).array());
         }
         reply(Nbd.OPT_LIST, Nbd.REP_ACK, NOTHING);
@@ -152,10 +165,23 @@
         } else if (export.isEmpty()) {
             reply(option, Nbd.REP_ERR_UNKNOWN, NOTHING);
         } else {
-            reply(option, Nbd.REP_INFO, ByteBuffer.allocate(12).putShort((short) Nbd.INFO_EXPORT)
-                    .putLong(export.get().size()).putShort(transmissionFlags()).array());
-            reply(option, Nbd.REP_INFO, ByteBuffer.allocate(14).putShort((short) Nbd.INFO_BLOCK_SIZE)
-                    .putInt(1).putInt(PREFERRED_BLOCK).putInt(Transmission.MOST_LENGTH).array());
+            reply(
+                    option,
+                    Nbd.REP_INFO,
+                    ByteBuffer.allocate(12)
+                            .putShort((short) Nbd.INFO_EXPORT)
+                            .putLong(export.get().size())
+                            .putShort(transmissionFlags())
+                            .array());
+            reply(
+                    option,
+                    Nbd.REP_INFO,
+                    ByteBuffer.allocate(14)
+                            .putShort((short) Nbd.INFO_BLOCK_SIZE)
+                            .putInt(1)
+                            .putInt(PREFERRED_BLOCK)
+                            .putInt(Transmission.MOST_LENGTH)
+                            .array());
             reply(option, Nbd.REP_ACK, NOTHING);
             if (option == Nbd.OPT_GO) {
                 open(export.get());
@@ -168,8 +194,11 @@
         if (export.isEmpty() || drains.test(Optional.empty()) || drains.test(export)) {
             throw new IOException("no such export now"); // this option has no other way to say so
         }
-        wire.send(ByteBuffer.allocate(10 + (noZeroes ? 0 : Nbd.EXPORT_NAME_ZEROES))
-                .putLong(export.get().size()).putShort(transmissionFlags()).rewind());
+        wire.send(
+                ByteBuffer.allocate(10 + (noZeroes ? 0 : Nbd.EXPORT_NAME_ZEROES))
+                        .putLong(export.get().size())
+                        .putShort(transmissionFlags())
+                        .rewind());
         open(export.get());
     }
 
@@ -179,7 +208,8 @@
     }
 
     private short transmissionFlags() {
-        return (short) (Nbd.FLAG_HAS_FLAGS | Nbd.FLAG_SEND_FLUSH | (structured ? Nbd.FLAG_SEND_DF : 0));
+        return (short)
+                (Nbd.FLAG_HAS_FLAGS | Nbd.FLAG_SEND_FLUSH | (structured ? Nbd.FLAG_SEND_DF : 0));
     }
 
     private static String text(ByteBuffer data, int length) {
@@ -189,7 +219,13 @@
     }
 
     private void reply(int option, int type, byte[] data) {
-        wire.send(ByteBuffer.allocate(Nbd.OPTION_REPLY_HEADER + data.length).putLong(Nbd.OPTION_REPLY_MAGIC)
-                .putInt(option).putInt(type).putInt(data.length).put(data).flip());
+        wire.send(
+                ByteBuffer.allocate(Nbd.OPTION_REPLY_HEADER + data.length)
+                        .putLong(Nbd.OPTION_REPLY_MAGIC)
+                        .putInt(option)
+                        .putInt(type)
+                        .putInt(data.length)
+                        .put(data)
+                        .flip());
     }
 }
--- a/src/main/java/cypressglade/nbd/Transmission.java
+++ b/src/main/java/cypressglade/nbd/Transmission.java
@@ -23,14 +23,18 @@
 
 /** The commands of one client on one export, each answered once. Runs on the I/O thread. */
 final class Transmission implements Wire.Listener {
-    /** The longest read or write; larger ones are turned down and what they carry is passed over. */
+    /**
+     * The longest read or write; larger ones are turned down and what they carry is passed over.
+     */
     static final int MOST_LENGTH = 128 * 1024;
+
     private static final long MOST_SKIPPED = 64L << 20;
     private static final int MOST_OPEN = 4;
     private static final int MOST_UNSENT = 2 * MOST_LENGTH;
     private static final int BLOCK = 4096;
     private static final long KEY_STEP = 0x9e3779b97f4a7c15L; // spreads block numbers over the keys
-    private static final Duration MARGIN = Duration.ofMillis(20); // for the reply to get back in time
+    private static final Duration MARGIN =
+            Duration.ofMillis(20); // for the reply to get back in time
 
     private final NbdListener front;
     private final Wire wire;
@@ -44,7 +48,7 @@
     private boolean over;
 
     /** A node that a write of this client may have reached. */
-    private record Reached(int shard, long node) { }
+    private record Reached(int shard, long node) {}
 
     Transmission(NbdListener front, Wire wire, Export export, boolean structured) {
         this.front = front;
@@ -122,12 +126,14 @@
         if (error != 0) {
             command.reply(error);
         } else if (type == Nbd.CMD_WRITE) {
-            pieces.expect(command.length, data -> {
-                pieces.expect(Nbd.REQUEST_HEADER, this::header);
-                command.data = data.array();
-                command.begin();
-                holdIfFull();
-            });
+            pieces.expect(
+                    command.length,
+                    data -> {
+                        pieces.expect(Nbd.REQUEST_HEADER, this::header);
+                        command.data = data.array();
+                        command.begin();
+                        holdIfFull();
+                    });
             return;
         } else {
             command.begin();
@@ -146,7 +152,10 @@
         wire.closeWhenSent();
     }
 
-    /** One command of the client; it is split where it crosses shards or is larger than a request may be. */
+    /**
+     * One command of the client; it is split where it crosses shards or is larger than a request
+     * may be.
+     */
     private final class Command {
         private final int type;
         private final long cookie;
@@ -164,9 +173,12 @@
             this.offset = offset;
             this.length = length;
             Settings settings = front.settings();
-            requestClass = type == Nbd.CMD_READ ? front.config().readClass() : front.config().writeClass();
-            expiry = Time.now().plus(Micros.span(settings.classes().get(requestClass).deadlineUs()))
-                    .minus(MARGIN);
+            requestClass =
+                    type == Nbd.CMD_READ ? front.config().readClass() : front.config().writeClass();
+            expiry =
+                    Time.now()
+                            .plus(Micros.span(settings.classes().get(requestClass).deadlineUs()))
+                            .minus(MARGIN);
         }
 
         /** What is wrong with it, or 0. */
@@ -180,7 +192,9 @@
                 return Nbd.EINVAL;
             }
             if (!read && !write) {
-                return front.refusesCommands() ? Nbd.ESHUTDOWN : offset != 0 || length != 0 ? Nbd.EINVAL : 0;
+                return front.refusesCommands()
+                        ? Nbd.ESHUTDOWN
+                        : offset != 0 || length != 0 ? Nbd.EINVAL : 0;
             }
             if (length == 0 || Integer.toUnsignedLong(length) > MOST_LENGTH) {
                 return Nbd.EINVAL;
@@ -195,7 +209,13 @@
             List<Runnable> parts = new ArrayList<>();
             if (type == Nbd.CMD_FLUSH) {
                 for (Reached reached : written) {
-                    parts.add(() -> part(reached.shard(), 0, 0, NbdWork.flush(export, reached.node())));
+                    parts.add(
+                            () ->
+                                    part(
+                                            reached.shard(),
+                                            0,
+                                            0,
+                                            NbdWork.flush(export, reached.node())));
                 }
             } else {
                 data = type == Nbd.CMD_READ ? new byte[length] : data;
@@ -203,10 +223,17 @@
                 while (at < length) {
                     long from = offset + at;
                     NbdConfig.Extent extent = export.at(from);
-                    int size = (int) Math.min(Math.min(length - at, extent.end() - from), front.mostBytes());
+                    int size =
+                            (int)
+                                    Math.min(
+                                            Math.min(length - at, extent.end() - from),
+                                            front.mostBytes());
                     int start = at;
-                    NbdWork work = type == Nbd.CMD_READ ? NbdWork.read(export, from, size)
-                            : NbdWork.write(export, from, Arrays.copyOfRange(data, at, at + size));
+                    NbdWork work =
+                            type == Nbd.CMD_READ
+                                    ? NbdWork.read(export, from, size)
+                                    : NbdWork.write(
+                                            export, from, Arrays.copyOfRange(data, at, at + size));
                     parts.add(() -> part(extent.shard(), start, size, work));
                     at += size;
                 }
@@ -220,10 +247,21 @@
 
         /** Hands one part to the core, as a request like any other. */
         private void part(int shard, int at, int size, NbdWork work) {
-            float units = Math.max(1, (float) Math.ceil((double) size / front.config().unitBytes()));
+            float units =
+                    Math.max(1, (float) Math.ceil((double) size / front.config().unitBytes()));
             long key = size == 0 ? 0 : export.volume() ^ (work.offset() / BLOCK + 1) * KEY_STEP;
-            IoRequest request = new IoRequest(shard, requestClass, export.plan(), front.config().hosts(),
-                    false, type != Nbd.CMD_READ, export.volume(), key, units, expiry);
+            IoRequest request =
+                    new IoRequest(
+                            shard,
+                            requestClass,
+                            export.plan(),
+                            front.config().hosts(),
+                            false,
+                            type != Nbd.CMD_READ,
+                            export.volume(),
+                            key,
+                            units,
+                            expiry);
             Part part = new Part(this, shard, at, work);
             part.life = front.life(request, work, part, new Recorder(shard));
             lives.add(part.life);
@@ -245,9 +283,15 @@
             open--;
             boolean read = type == Nbd.CMD_READ;
             byte[] body = read && answer == 0 ? data : new byte[0];
-            wire.send(structured ? chunk(answer, body) : ByteBuffer
-                    .allocate(Nbd.SIMPLE_REPLY_HEADER + body.length).putInt(Nbd.SIMPLE_REPLY_MAGIC)
-                    .putInt(answer).putLong(cookie).put(body).flip());
+            wire.send(
+                    structured
+                            ? chunk(answer, body)
+                            : ByteBuffer.allocate(Nbd.SIMPLE_REPLY_HEADER + body.length)
+                                    .putInt(Nbd.SIMPLE_REPLY_MAGIC)
+                                    .putInt(answer)
+                                    .putLong(cookie)
+                                    .put(body)
+                                    .flip());
             if (over && open == 0) {
                 leave();
             } else {
@@ -267,8 +311,13 @@
             }
             content.flip();
             return ByteBuffer.allocate(Nbd.CHUNK_HEADER + content.remaining())
-                    .putInt(Nbd.STRUCTURED_REPLY_MAGIC).putShort((short) Nbd.REPLY_FLAG_DONE)
-                    .putShort((short) kind).putLong(cookie).putInt(content.remaining()).put(content).flip();
+                    .putInt(Nbd.STRUCTURED_REPLY_MAGIC)
+                    .putShort((short) Nbd.REPLY_FLAG_DONE)
+                    .putShort((short) kind)
+                    .putLong(cookie)
+                    .putInt(content.remaining())
+                    .put(content)
+                    .flip();
         }
     }
 
@@ -289,10 +338,11 @@
 
         @Override
         public void served(byte[] answer) {
-            front.execute(() -> {
-                System.arraycopy(answer, 0, command.data, at, answer.length);
-                ended(0);
-            });
+            front.execute(
+                    () -> {
+                        System.arraycopy(answer, 0, command.data, at, answer.length);
+                        ended(0);
+                    });
         }
 
         @Override
@@ -308,7 +358,8 @@
         private void ended(int error) {
             lives.remove(life);
             if (error != 0 && work.type() == Nbd.CMD_FLUSH) {
-                // What that node wrote is now told as not lasting; a later flush speaks of later writes.
+                // What that node wrote is now told as not lasting; a later flush speaks of later
+                // writes.
                 written.remove(new Reached(shard, work.onlyNode()));
             }
             command.partEnded(error);
@@ -324,14 +375,26 @@
         }
 
         @Override
-        public Attempt send(long node, NbdWork work, Instant until, BooleanSupplier wanted,
+        public Attempt send(
+                long node,
+                NbdWork work,
+                Instant until,
+                BooleanSupplier wanted,
                 Consumer<Ending> ended) {
-            return front.link().send(node, work, until, wanted, ending -> {
-                if (work.type() == Nbd.CMD_WRITE && ending.status().mayHaveRun) {
-                    written.add(new Reached(shard, node)); // ends come on the I/O thread
-                }
-                ended.accept(ending);
-            });
+            return front.link()
+                    .send(
+                            node,
+                            work,
+                            until,
+                            wanted,
+                            ending -> {
+                                if (work.type() == Nbd.CMD_WRITE && ending.status().mayHaveRun) {
+                                    written.add(
+                                            new Reached(
+                                                    shard, node)); // ends come on the I/O thread
+                                }
+                                ended.accept(ending);
+                            });
         }
 
         @Override
--- a/src/main/java/cypressglade/net/Datagrams.java
+++ b/src/main/java/cypressglade/net/Datagrams.java
@@ -13,6 +13,7 @@
 public final class Datagrams implements AutoCloseable {
     /** Fits an Ethernet frame with room for tunnels. */
     public static final int MOST_BYTES = 1400;
+
     /** Taken at a time, so that a flood leaves the I/O thread to the others in between. */
     private static final int AT_A_TIME = 16;
 
@@ -21,7 +22,10 @@
     private final MulticastMessageChannel channel;
     private final Receiver receiver;
 
-    /** Hears what comes, on the I/O thread; a datagram over the bound comes cut off at one byte more. */
+    /**
+     * Hears what comes, on the I/O thread; a datagram over the bound comes cut off at one byte
+     * more.
+     */
     public interface Receiver {
         void received(InetSocketAddress from, byte[] datagram);
     }
--- a/src/main/java/cypressglade/net/Listening.java
+++ b/src/main/java/cypressglade/net/Listening.java
@@ -20,29 +20,44 @@
             throws IOException {
         this.loop = loop;
         address = (InetSocketAddress) channel.getLocalAddress();
-        acceptor = new Acceptor(loop.io(), channel, new Acceptor.Listener() {
-            @Override
-            public void accepted(StreamConnection connection) {
-                noteAccepted();
-                loop.execute(() -> accepted.accept(connection)); // behind what was told before it came
-            }
+        acceptor =
+                new Acceptor(
+                        loop.io(),
+                        channel,
+                        new Acceptor.Listener() {
+                            @Override
+                            public void accepted(StreamConnection connection) {
+                                noteAccepted();
+                                loop.execute(
+                                        () ->
+                                                accepted.accept(
+                                                        connection)); // behind what was told before
+                                // it came
+                            }
 
-            @Override
-            public void failed(IOException why) {
-                noteFailed(why);
-            }
-        });
+                            @Override
+                            public void failed(IOException why) {
+                                noteFailed(why);
+                            }
+                        });
     }
 
     private void noteFailed(IOException why) {
         if (failures++ == 0) { // a series is told once, and its end
-            LOG.log(System.Logger.Level.WARNING, "accept on {0} fails: {1}", address, why.getMessage());
+            LOG.log(
+                    System.Logger.Level.WARNING,
+                    "accept on {0} fails: {1}",
+                    address,
+                    why.getMessage());
         }
     }
 
     private void noteAccepted() {
         if (failures > 0) {
-            LOG.log(System.Logger.Level.INFO, "accept on {0} works again after {1} failures", address,
+            LOG.log(
+                    System.Logger.Level.INFO,
+                    "accept on {0} works again after {1} failures",
+                    address,
                     failures);
             failures = 0;
         }
@@ -59,8 +74,8 @@
     }
 
     /**
-     * Accepts all that wait in the backlog, and closes: on the I/O thread, at once, so that nobody comes
-     * between.
+     * Accepts all that wait in the backlog, and closes: on the I/O thread, at once, so that nobody
+     * comes between.
      */
     public void acceptWaitingAndClose() {
         acceptor.acceptWaiting();
--- a/src/main/java/cypressglade/net/Loop.java
+++ b/src/main/java/cypressglade/net/Loop.java
@@ -25,11 +25,16 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-/** The program's one I/O thread: what runs on it never blocks, and the state of its wires is its alone. */
+/**
+ * The program's one I/O thread: what runs on it never blocks, and the state of its wires is its
+ * alone.
+ */
 public class Loop implements AutoCloseable {
     private static final System.Logger LOG = System.getLogger(Loop.class.getName());
+
     /** Held, as its level is lost with it. */
     private static final Logger XNIO = Logger.getLogger("org.xnio");
+
     private static final int BUFFER = 16 * 1024;
     private static final int BACKLOG = 512;
     private static final Duration BIND_LIMIT = Duration.ofSeconds(10);
@@ -37,7 +42,8 @@
     private static final OptionMap TCP = OptionMap.create(Options.TCP_NODELAY, true);
 
     static {
-        // It names its version at each start, and the first line that is logged loads how dates are written.
+        // It names its version at each start, and the first line that is logged loads how dates are
+        // written.
         XNIO.setLevel(Level.WARNING);
     }
 
@@ -47,11 +53,20 @@
     final ByteBuffer input = ByteBuffer.allocateDirect(BUFFER);
 
     public Loop() throws IOException {
-        OptionMap options = OptionMap.builder().set(Options.WORKER_IO_THREADS, 1)
-                .set(Options.WORKER_TASK_CORE_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1)
-                .set(Options.THREAD_DAEMON, true).set(Options.WORKER_NAME, "io").getMap();
-        worker = Retry.untilDone(START_LIMIT, "I/O thread", IOException.class::isInstance,
-                () -> Xnio.getInstance().createWorker(options));
+        OptionMap options =
+                OptionMap.builder()
+                        .set(Options.WORKER_IO_THREADS, 1)
+                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                        .set(Options.THREAD_DAEMON, true)
+                        .set(Options.WORKER_NAME, "io")
+                        .getMap();
+        worker =
+                Retry.untilDone(
+                        START_LIMIT,
+                        "I/O thread",
+                        IOException.class::isInstance,
+                        () -> Xnio.getInstance().createWorker(options));
         io = worker.getIoThread();
     }
 
@@ -95,26 +110,33 @@
     }
 
     /** The same, from a local address; from whichever the route gives where there is none. */
-    public Dial dial(Optional<InetSocketAddress> from, InetSocketAddress address, Consumer<Wire> up,
+    public Dial dial(
+            Optional<InetSocketAddress> from,
+            InetSocketAddress address,
+            Consumer<Wire> up,
             Runnable down) {
-        IoFuture<StreamConnection> future = from.isEmpty() ? worker.openStreamConnection(address, null, TCP)
-                : worker.openStreamConnection(from.get(), address, null, null, TCP);
-        future.addNotifier(new IoFuture.HandlingNotifier<StreamConnection, Void>() {
-            @Override
-            public void handleDone(StreamConnection connection, Void nothing) {
-                execute(() -> up.accept(new Wire(Loop.this, connection)));
-            }
-
-            @Override
-            public void handleFailed(IOException failure, Void nothing) {
-                execute(down);
-            }
-
-            @Override
-            public void handleCancelled(Void nothing) {
-                execute(down);
-            }
-        }, null);
+        IoFuture<StreamConnection> future =
+                from.isEmpty()
+                        ? worker.openStreamConnection(address, null, TCP)
+                        : worker.openStreamConnection(from.get(), address, null, null, TCP);
+        future.addNotifier(
+                new IoFuture.HandlingNotifier<StreamConnection, Void>() {
+                    @Override
+                    public void handleDone(StreamConnection connection, Void nothing) {
+                        execute(() -> up.accept(new Wire(Loop.this, connection)));
+                    }
+
+                    @Override
+                    public void handleFailed(IOException failure, Void nothing) {
+                        execute(down);
+                    }
+
+                    @Override
+                    public void handleCancelled(Void nothing) {
+                        execute(down);
+                    }
+                },
+                null);
         return future::cancel;
     }
 
@@ -124,7 +146,10 @@
         return new Wire[] {new Wire(this, ends[0]), new Wire(this, ends[1])};
     }
 
-    /** A connection inside the program: one end is handed over as an accepted one is, the other returned. */
+    /**
+     * A connection inside the program: one end is handed over as an accepted one is, the other
+     * returned.
+     */
     public final Wire pipe(Consumer<StreamConnection> accepted) {
         StreamConnection[] ends = pipe();
         execute(() -> accepted.accept(ends[0]));
@@ -133,7 +158,8 @@
 
     private StreamConnection[] pipe() {
         try {
-            ChannelPipe<StreamConnection, StreamConnection> pipe = io.createFullDuplexPipeConnection();
+            ChannelPipe<StreamConnection, StreamConnection> pipe =
+                    io.createFullDuplexPipeConnection();
             return new StreamConnection[] {pipe.getLeftSide(), pipe.getRightSide()};
         } catch (IOException none) {
             throw new UncheckedIOException(none);
@@ -148,16 +174,20 @@
     }
 
     /**
-     * Binds a listener that another process may share (SO_REUSEPORT), as an upgrade wants it; it hands over
-     * each connection on this thread, once it is told to accept.
+     * Binds a listener that another process may share (SO_REUSEPORT), as an upgrade wants it; it
+     * hands over each connection on this thread, once it is told to accept.
      */
     public Listening share(InetSocketAddress address, Consumer<StreamConnection> accepted)
             throws IOException {
-        return Retry.untilDone(BIND_LIMIT, "clients' port", IOException.class::isInstance,
+        return Retry.untilDone(
+                BIND_LIMIT,
+                "clients' port",
+                IOException.class::isInstance,
                 () -> bind(address, true, accepted));
     }
 
-    private Listening bind(InetSocketAddress address, boolean shared, Consumer<StreamConnection> accepted)
+    private Listening bind(
+            InetSocketAddress address, boolean shared, Consumer<StreamConnection> accepted)
             throws IOException {
         ServerSocketChannel channel = ServerSocketChannel.open();
         try {
@@ -175,7 +205,8 @@
     }
 
     /** Opens a UDP socket. */
-    public Datagrams datagrams(InetSocketAddress address, Datagrams.Receiver receiver) throws IOException {
+    public Datagrams datagrams(InetSocketAddress address, Datagrams.Receiver receiver)
+            throws IOException {
         return new Datagrams(worker, address, receiver);
     }
 
--- a/src/main/java/cypressglade/net/NodePool.java
+++ b/src/main/java/cypressglade/net/NodePool.java
@@ -24,13 +24,14 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Connections to the storage nodes, one request at a time on each. All state is the I/O thread's. Nothing is
- * ever sent again here; an attempt's end says exactly whether its last byte was written.
+ * Connections to the storage nodes, one request at a time on each. All state is the I/O thread's.
+ * Nothing is ever sent again here; an attempt's end says exactly whether its last byte was written.
  */
 public final class NodePool {
     public static final Duration PROBE_LIMIT = Duration.ofMillis(250);
     private static final Duration MOST_IDLE = Duration.ofSeconds(12);
     private static final Duration SWEEP = Duration.ofSeconds(1);
+
     /** A send that its connection delays by more would count too late against a volume's limit. */
     private static final Duration MOST_CONNECT = Duration.ofMillis(150);
 
@@ -43,8 +44,13 @@
     private final Map<String, ArrayDeque<Idle>> idle = new HashMap<>();
     private int connections;
 
-    public NodePool(Loop loop, NodeDirectory directory, Counters counters, Duration connectTimeout,
-            Duration idleAtNode, int mostConnections) {
+    public NodePool(
+            Loop loop,
+            NodeDirectory directory,
+            Counters counters,
+            Duration connectTimeout,
+            Duration idleAtNode,
+            int mostConnections) {
         this.loop = loop;
         this.directory = directory;
         this.counters = counters;
@@ -54,18 +60,22 @@
 
     /** Takes new limits; connections over them go as they become idle. */
     public void use(Duration connectTimeout, Duration idleAtNode, int most) {
-        loop.execute(() -> {
-            connectLimit = shorter(connectTimeout, MOST_CONNECT);
-            idleLimit = shorter(idleAtNode.dividedBy(2), MOST_IDLE);
-            mostConnections = most;
-        });
+        loop.execute(
+                () -> {
+                    connectLimit = shorter(connectTimeout, MOST_CONNECT);
+                    idleLimit = shorter(idleAtNode.dividedBy(2), MOST_IDLE);
+                    mostConnections = most;
+                });
     }
 
     private static Duration shorter(Duration one, Duration other) {
         return one.compareTo(other) < 0 ? one : other;
     }
 
-    /** A connection between two requests. Whatever comes on it ends it: a node has nothing to say there. */
+    /**
+     * A connection between two requests. Whatever comes on it ends it: a node has nothing to say
+     * there.
+     */
     private final class Idle implements Wire.Listener {
         private final Wire wire;
         private final String use;
@@ -97,8 +107,8 @@
     }
 
     /**
-     * An idle connection that is still of use: not one that its node may have closed by now, nor one to the
-     * process that ran before the node's last start, which may be dead without a word.
+     * An idle connection that is still of use: not one that its node may have closed by now, nor
+     * one to the process that ran before the node's last start, which may be dead without a word.
      */
     private Optional<Wire> takeIdle(String use, Instant nodeStarted) {
         ArrayDeque<Idle> kept = idle.getOrDefault(use, new ArrayDeque<>());
@@ -110,7 +120,8 @@
             } else if (last.wire.quiet()) {
                 return Optional.of(last.wire);
             } else {
-                // Guards against bytes behind an answer that are here but not heard of yet: they would be
+                // Guards against bytes behind an answer that are here but not heard of yet: they
+                // would be
                 // taken for the next answer.
                 counters.add(Counters.Name.STRAY_BYTES);
                 close(last.wire);
@@ -134,19 +145,30 @@
     private void sweep() {
         Instant oldest = Time.now().minus(idleLimit);
         for (ArrayDeque<Idle> kept : idle.values()) {
-            // Nothing more goes to a node that drains or is gone: its connections are of no use to anyone.
-            List.copyOf(kept).stream().filter(one -> one.since.isBefore(oldest)
-                    || directory.ready(one.node).isEmpty()).forEach(Idle::discard);
+            // Nothing more goes to a node that drains or is gone: its connections are of no use to
+            // anyone.
+            List.copyOf(kept).stream()
+                    .filter(
+                            one ->
+                                    one.since.isBefore(oldest)
+                                            || directory.ready(one.node).isEmpty())
+                    .forEach(Idle::discard);
         }
         idle.values().removeIf(ArrayDeque::isEmpty);
         loop.after(SWEEP, this::sweep);
     }
 
-    /** Makes room for a connection at the cost of the one that was idle longest; false where all work. */
+    /**
+     * Makes room for a connection at the cost of the one that was idle longest; false where all
+     * work.
+     */
     private boolean makeRoom() {
         if (connections >= mostConnections) {
-            idle.values().stream().map(ArrayDeque::peekFirst).filter(Objects::nonNull)
-                    .min(Comparator.comparing(kept -> kept.since)).ifPresent(Idle::discard);
+            idle.values().stream()
+                    .map(ArrayDeque::peekFirst)
+                    .filter(Objects::nonNull)
+                    .min(Comparator.comparing(kept -> kept.since))
+                    .ifPresent(Idle::discard);
         }
         return connections < mostConnections;
     }
@@ -168,7 +190,8 @@
         private XnioExecutor.Key silence;
         private boolean over;
 
-        protected Exchange(long node, Instant until, BooleanSupplier wanted, Consumer<Ending> ended) {
+        protected Exchange(
+                long node, Instant until, BooleanSupplier wanted, Consumer<Ending> ended) {
             this.node = node;
             this.until = until;
             this.wanted = wanted;
@@ -210,7 +233,7 @@
         protected abstract byte[] answer();
 
         /** It has ended: what it holds is given back. */
-        protected void over() { }
+        protected void over() {}
 
         /** What the answer told beside itself; nothing where it was not read whole. */
         protected NodeLink.Told told() {
@@ -247,7 +270,9 @@
             counters.add(Counters.Name.CONNECTIONS_OPENED);
             Duration left = Time.until(until);
             boolean requestFirst = left.compareTo(connectLimit) < 0;
-            limit(requestFirst ? left : connectLimit, requestFirst ? Status.MOOT : Status.CONNECT_FAILED);
+            limit(
+                    requestFirst ? left : connectLimit,
+                    requestFirst ? Status.MOOT : Status.CONNECT_FAILED);
             dial = loop.dial(address.get(), this::connected, this::notConnected);
         }
 
@@ -271,16 +296,22 @@
         }
 
         /**
-         * The one place that says whether a request may begin at its node now; why not, where not. By the
-         * time that a slow connection is up the node may drain or listen elsewhere, the time may be up, or
-         * the client may have left. The last two say nothing of the node.
+         * The one place that says whether a request may begin at its node now; why not, where not.
+         * By the time that a slow connection is up the node may drain or listen elsewhere, the time
+         * may be up, or the client may have left. The last two say nothing of the node.
          */
         private Optional<Status> heldBack() {
             if (Time.until(until).isZero() || !wanted.getAsBoolean()) {
                 return Optional.of(Status.MOOT);
             }
-            return directory.ready(node).flatMap(this::address).map(this::use).filter(use::equals).isPresent()
-                    ? Optional.empty() : Optional.of(Status.CONNECT_FAILED);
+            return directory
+                            .ready(node)
+                            .flatMap(this::address)
+                            .map(this::use)
+                            .filter(use::equals)
+                            .isPresent()
+                    ? Optional.empty()
+                    : Optional.of(Status.CONNECT_FAILED);
         }
 
         private void begin() {
@@ -307,8 +338,8 @@
         }
 
         /**
-         * What cannot be read is a failed attempt that may have run. It tells that the node lives, so it is
-         * an error and not a reset; its connection is of no further use.
+         * What cannot be read is a failed attempt that may have run. It tells that the node lives,
+         * so it is an error and not a reset; its connection is of no further use.
          */
         @Override
         public final void received(ByteBuffer in) {
@@ -339,8 +370,9 @@
         }
 
         /**
-         * Guards against an answer that stops halfway on a connection that stays open. One timer an exchange,
-         * taken back at its end: one for each part kept the bodies of all that had ended lately in the heap.
+         * Guards against an answer that stops halfway on a connection that stays open. One timer an
+         * exchange, taken back at its end: one for each part kept the bodies of all that had ended
+         * lately in the heap.
          */
         private void watchSilence(Duration most) {
             lastHeard = Time.now();
@@ -368,7 +400,10 @@
             end(readToEnd().orElseGet(() -> written(Status.RESET)));
         }
 
-        /** Guards against the cut part of an answer without a length being served as the whole of it. */
+        /**
+         * Guards against the cut part of an answer without a length being served as the whole of
+         * it.
+         */
         @Override
         public final void broke() {
             end(written(Status.RESET));
@@ -383,15 +418,21 @@
             if (limit != null) {
                 limit.remove();
             }
-            limit = loop.after(left, () -> {
-                if (begun && !over) {
-                    wire.readNow(); // the answer may be here, and not heard of yet
-                }
-                end(written(status));
-            });
+            limit =
+                    loop.after(
+                            left,
+                            () -> {
+                                if (begun && !over) {
+                                    wire.readNow(); // the answer may be here, and not heard of yet
+                                }
+                                end(written(status));
+                            });
         }
 
-        /** The one end of an exchange. Its connection is closed, unless it was kept, before anyone hears. */
+        /**
+         * The one end of an exchange. Its connection is closed, unless it was kept, before anyone
+         * hears.
+         */
         private void end(Status status) {
             if (over) {
                 return;
@@ -409,7 +450,8 @@
                 dial.cancel();
             }
             Duration took = Duration.between(opened, Time.now()).minus(loop.lateness());
-            Ending ending = Ending.read(status, answer(), told(), took.isNegative() ? Duration.ZERO : took);
+            Ending ending =
+                    Ending.read(status, answer(), told(), took.isNegative() ? Duration.ZERO : took);
             over();
             ended.accept(ending);
         }
--- a/src/main/java/cypressglade/net/Wire.java
+++ b/src/main/java/cypressglade/net/Wire.java
@@ -31,15 +31,15 @@
         void ended();
 
         /**
-         * The wire broke instead, as by a reset: that ends nothing whole, as what would have come next is not
-         * known. Told once, in place of {@link #ended}.
+         * The wire broke instead, as by a reset: that ends nothing whole, as what would have come
+         * next is not known. Told once, in place of {@link #ended}.
          */
         default void broke() {
             ended();
         }
 
         /** All that had to wait for the socket is written. */
-        default void sent() { }
+        default void sent() {}
     }
 
     Wire(Loop loop, StreamConnection connection) {
--- a/src/main/java/cypressglade/operate/Door.java
+++ b/src/main/java/cypressglade/operate/Door.java
@@ -5,11 +5,12 @@
 import java.util.Optional;
 
 /**
- * The calls of the operators' door: one line in, one line out, {@code 200} for yes and {@code 400} for no. No
- * I/O: {@link #answer} is handed a line and what it acts on, and returns the line to send back.
+ * The calls of the operators' door: one line in, one line out, {@code 200} for yes and {@code 400}
+ * for no. No I/O: {@link #answer} is handed a line and what it acts on, and returns the line to
+ * send back.
  *
- * <p>A call that cannot be read gets a no that names what was wrong and what to send instead, and changes
- * nothing.
+ * <p>A call that cannot be read gets a no that names what was wrong and what to send instead, and
+ * changes nothing.
  */
 public final class Door {
     /** Longer lines are no call of this door; the rest of them is not read. */
@@ -20,7 +21,10 @@
         /** Whether this process takes clients. */
         boolean takesClients();
 
-        /** Nothing new to a node, over its restarts, until {@link #include}; UNKNOWN_NODE if unlisted. */
+        /**
+         * Nothing new to a node, over its restarts, until {@link #include}; UNKNOWN_NODE if
+         * unlisted.
+         */
         HandDrains.Result exclude(String node);
 
         /** Takes a ban back; ALREADY where there was none. */
@@ -53,7 +57,8 @@
         String verb = words[0].toLowerCase(Locale.ROOT);
         int wanted = verb.equals("exclude") || verb.equals("include") ? 2 : 1;
         if (words.length != wanted) {
-            return wanted == 2 ? "400 " + verb + " takes one storage node id: " + verb + " ID"
+            return wanted == 2
+                    ? "400 " + verb + " takes one storage node id: " + verb + " ID"
                     : unknown(line);
         }
         return switch (verb) {
@@ -68,25 +73,37 @@
                 acts.activate();
                 yield "200 active";
             }
-            case "fleet" -> acts.fleet().map(view -> "200 " + view).orElse("400 no fleet view is kept here: "
-                    + "set \"view\": true in the file that --peers names, and restart");
+            case "fleet" ->
+                    acts.fleet()
+                            .map(view -> "200 " + view)
+                            .orElse(
+                                    "400 no fleet view is kept here: "
+                                            + "set \"view\": true in the file that --peers names, and restart");
             default -> unknown(line);
         };
     }
 
     private static String unknown(String line) {
-        return "400 unknown call '" + clip(line)
+        return "400 unknown call '"
+                + clip(line)
                 + "': send readyz, exclude ID, include ID, evacuate, activate or fleet";
     }
 
     private static String said(HandDrains.Result result, String done) {
         return result.kind() == Kind.UNKNOWN_NODE || result.kind() == Kind.AMBIGUOUS
-                ? "400 no storage node " + clip(result.node()) + " in the list; known: "
+                ? "400 no storage node "
+                        + clip(result.node())
+                        + " in the list; known: "
                         + String.join(" ", result.names())
-                : "200 " + done + " " + result.node() + (result.kind() == Kind.ALREADY ? " (already)" : "");
+                : "200 "
+                        + done
+                        + " "
+                        + result.node()
+                        + (result.kind() == Kind.ALREADY ? " (already)" : "");
     }
 
     private static String clip(String text) {
-        return (text.length() > 40 ? text.substring(0, 40) + "..." : text).replaceAll("\\p{Cntrl}", "?");
+        return (text.length() > 40 ? text.substring(0, 40) + "..." : text)
+                .replaceAll("\\p{Cntrl}", "?");
     }
 }
--- a/src/main/java/cypressglade/operate/Events.java
+++ b/src/main/java/cypressglade/operate/Events.java
@@ -18,7 +18,7 @@
      * @param number counts up from 1 in a life of the program
      * @param name lower case with dots, such as {@code drain.done}
      */
-    public record Event(long number, Instant at, String name, Map<String, String> fields) { }
+    public record Event(long number, Instant at, String name, Map<String, String> fields) {}
 
     public synchronized void add(Instant at, String name, Map<String, String> fields) {
         kept.add(new Event(++last, at, name, Map.copyOf(fields)));
--- a/src/main/java/cypressglade/operate/HandDrains.java
+++ b/src/main/java/cypressglade/operate/HandDrains.java
@@ -16,12 +16,13 @@
 import java.util.stream.Collectors;
 
 /**
- * Drains by hand over what the sources tell. A drain holds for one run of one node, whatever the sources say
- * of it, until it is taken back, the node leaves the list, or it comes back with a later start. The list as
- * told is kept, so that taking a drain back shows what the sources say by then.
+ * Drains by hand over what the sources tell. A drain holds for one run of one node, whatever the
+ * sources say of it, until it is taken back, the node leaves the list, or it comes back with a
+ * later start. The list as told is kept, so that taking a drain back shows what the sources say by
+ * then.
  *
- * <p>The lock holds from the decision to the end of {@code out}, so that a list from a source and an order of
- * an operator cannot overtake each other; {@code out} must not block.
+ * <p>The lock holds from the decision to the end of {@code out}, so that a list from a source and
+ * an order of an operator cannot overtake each other; {@code out} must not block.
  */
 public final class HandDrains {
     private static final int MOST_COMMANDS = 256;
@@ -36,13 +37,24 @@
     private final Decided decided;
     private final Map<String, Entry> told = new LinkedHashMap<>();
     private final Map<String, HandDrain> drains = new LinkedHashMap<>();
-    /** Nodes out by the operators' door: held over restarts and lists that lack them, until taken back. */
+
+    /**
+     * Nodes out by the operators' door: held over restarts and lists that lack them, until taken
+     * back.
+     */
     private final Set<String> bans = new LinkedHashSet<>();
+
     private final LinkedHashMap<String, Result> commands = new LinkedHashMap<>();
     private long version;
 
     /** What became of an order. */
-    public enum Kind { DONE, ALREADY, UNKNOWN_NODE, AMBIGUOUS, ONLY_NODE }
+    public enum Kind {
+        DONE,
+        ALREADY,
+        UNKNOWN_NODE,
+        AMBIGUOUS,
+        ONLY_NODE
+    }
 
     /**
      * The answer to an order.
@@ -50,16 +62,17 @@
      * @param node the id that the order came to mean, or the name as given
      * @param names of nodes to choose from, or the shard that would be left without a node
      */
-    public record Result(Kind kind, String node, List<String> names) { }
+    public record Result(Kind kind, String node, List<String> names) {}
 
     /**
      * An order.
      *
-     * @param command a name that its giver made up: an order under a name that was carried out is not again
+     * @param command a name that its giver made up: an order under a name that was carried out is
+     *     not again
      * @param node a node's id, or the beginning of just one
      * @param force also where no other node holds the shard
      */
-    public record Order(String command, String node, String who, String why, boolean force) { }
+    public record Order(String command, String node, String who, String why, boolean force) {}
 
     /** Hears what was decided here, so that others can be told of it; must not block. */
     public interface Decided {
@@ -69,7 +82,7 @@
 
     /** Drains over nothing yet; what holds goes to {@code out}. */
     public HandDrains(Consumer<NodeList> out) {
-        this(out, (subject, word) -> { });
+        this(out, (subject, word) -> {});
     }
 
     /** The same, for one whose decisions others share. */
@@ -78,7 +91,10 @@
         this.decided = decided;
     }
 
-    /** Takes drains of a former life, before any list; those of runs that are over end as lists tell it. */
+    /**
+     * Takes drains of a former life, before any list; those of runs that are over end as lists tell
+     * it.
+     */
     public synchronized void restore(Collection<HandDrain> kept) {
         kept.forEach(drain -> drains.put(drain.node(), drain));
     }
@@ -97,62 +113,99 @@
                 told.put(entry.id(), entry);
             }
         }
-        drains.values().removeIf(drain -> {
-            // The first list after a restart may be the configuration's, older or shorter than the sources':
-            // a node has left only if it was there in this life.
-            Entry entry = told.get(drain.node());
-            return entry == null ? before.contains(drain.node()) : entry.started().isAfter(drain.started());
-        });
-        out.accept(new NodeList(list.version(), list.full(),
-                list.entries().stream().map(this::held).toList()));
+        drains.values()
+                .removeIf(
+                        drain -> {
+                            // The first list after a restart may be the configuration's, older or
+                            // shorter than the sources':
+                            // a node has left only if it was there in this life.
+                            Entry entry = told.get(drain.node());
+                            return entry == null
+                                    ? before.contains(drain.node())
+                                    : entry.started().isAfter(drain.started());
+                        });
+        out.accept(
+                new NodeList(
+                        list.version(),
+                        list.full(),
+                        list.entries().stream().map(this::held).toList()));
     }
 
     private Entry held(Entry entry) {
-        return entry.state() == State.READY && (drains.containsKey(entry.id()) || bans.contains(entry.id()))
-                ? new Entry(entry.id(), entry.address(), entry.zone(), entry.kind(), entry.cell(),
-                        State.DRAINING, entry.weight(), entry.started())
+        return entry.state() == State.READY
+                        && (drains.containsKey(entry.id()) || bans.contains(entry.id()))
+                ? new Entry(
+                        entry.id(),
+                        entry.address(),
+                        entry.zone(),
+                        entry.kind(),
+                        entry.cell(),
+                        State.DRAINING,
+                        entry.weight(),
+                        entry.started())
                 : entry;
     }
 
     /** Drains a node; once this returns DONE nothing new starts there. */
     public synchronized Result drain(Order order, Instant now) {
-        return once(order, () -> {
-            Result named = named(order.node());
-            if (named.kind() != Kind.DONE) {
-                return named;
-            }
-            Entry entry = told.get(named.node());
-            if (drains.containsKey(entry.id())) {
-                return new Result(Kind.ALREADY, entry.id(), List.of());
-            }
-            boolean other = told.values().stream().anyMatch(one -> one.cell() == entry.cell()
-                    && !one.id().equals(entry.id()) && held(one).state() == State.READY);
-            if (!other && entry.state() == State.READY && !order.force()) {
-                return new Result(Kind.ONLY_NODE, entry.id(), List.of(Integer.toString(entry.cell())));
-            }
-            drains.put(entry.id(), new HandDrain(entry.id(), entry.started(), order.who(), now, order.why(),
-                    false));
-            show(entry);
-            decided.decided(DRAIN + entry.id(), DRAIN + entry.started().toEpochMilli());
-            return named;
-        });
+        return once(
+                order,
+                () -> {
+                    Result named = named(order.node());
+                    if (named.kind() != Kind.DONE) {
+                        return named;
+                    }
+                    Entry entry = told.get(named.node());
+                    if (drains.containsKey(entry.id())) {
+                        return new Result(Kind.ALREADY, entry.id(), List.of());
+                    }
+                    boolean other =
+                            told.values().stream()
+                                    .anyMatch(
+                                            one ->
+                                                    one.cell() == entry.cell()
+                                                            && !one.id().equals(entry.id())
+                                                            && held(one).state() == State.READY);
+                    if (!other && entry.state() == State.READY && !order.force()) {
+                        return new Result(
+                                Kind.ONLY_NODE,
+                                entry.id(),
+                                List.of(Integer.toString(entry.cell())));
+                    }
+                    drains.put(
+                            entry.id(),
+                            new HandDrain(
+                                    entry.id(),
+                                    entry.started(),
+                                    order.who(),
+                                    now,
+                                    order.why(),
+                                    false));
+                    show(entry);
+                    decided.decided(DRAIN + entry.id(), DRAIN + entry.started().toEpochMilli());
+                    return named;
+                });
     }
 
     /** Takes a drain back: the node is what the sources say it is. */
     public synchronized Result undrain(Order order) {
-        return once(order, () -> {
-            Result named = drains.containsKey(order.node()) ? new Result(Kind.DONE, order.node(), List.of())
-                    : named(order.node());
-            if (named.kind() != Kind.DONE) {
-                return named;
-            }
-            if (drains.remove(named.node()) == null) {
-                return new Result(Kind.ALREADY, named.node(), List.of());
-            }
-            showIfTold(named.node());
-            decided.decided(DRAIN + named.node(), UNDRAIN);
-            return named;
-        });
+        return once(
+                order,
+                () -> {
+                    Result named =
+                            drains.containsKey(order.node())
+                                    ? new Result(Kind.DONE, order.node(), List.of())
+                                    : named(order.node());
+                    if (named.kind() != Kind.DONE) {
+                        return named;
+                    }
+                    if (drains.remove(named.node()) == null) {
+                        return new Result(Kind.ALREADY, named.node(), List.of());
+                    }
+                    showIfTold(named.node());
+                    decided.decided(DRAIN + named.node(), UNDRAIN);
+                    return named;
+                });
     }
 
     private Result once(Order order, Supplier<Result> act) {
@@ -177,8 +230,8 @@
     }
 
     /**
-     * Takes what was decided at another member, in the words of {@link Decided}: it holds here from now on,
-     * whether the node is listed here yet or not. What it cannot read changes nothing.
+     * Takes what was decided at another member, in the words of {@link Decided}: it holds here from
+     * now on, whether the node is listed here yet or not. What it cannot read changes nothing.
      *
      * @return whether it is about nodes
      */
@@ -212,28 +265,39 @@
         if (told.containsKey(name)) {
             return new Result(Kind.DONE, name, List.of());
         }
-        List<String> fits = told.keySet().stream().filter(id -> !name.isEmpty() && id.startsWith(name))
-                .sorted().toList();
+        List<String> fits =
+                told.keySet().stream()
+                        .filter(id -> !name.isEmpty() && id.startsWith(name))
+                        .sorted()
+                        .toList();
         if (fits.size() == 1) {
             return new Result(Kind.DONE, fits.get(0), List.of());
         }
-        return fits.isEmpty() ? unknown(name)
+        return fits.isEmpty()
+                ? unknown(name)
                 : new Result(Kind.AMBIGUOUS, name, fits.stream().limit(MOST_NAMED).toList());
     }
 
     /** No such node: the answer names some that are listed, to choose from. */
     private Result unknown(String name) {
-        return new Result(Kind.UNKNOWN_NODE, name,
+        return new Result(
+                Kind.UNKNOWN_NODE,
+                name,
                 told.keySet().stream().sorted().limit(MOST_NAMED).toList());
     }
 
-    /** Takes bans of a former life or of the process that this one upgrades, beside those that hold. */
+    /**
+     * Takes bans of a former life or of the process that this one upgrades, beside those that hold.
+     */
     public synchronized void restoreBans(Collection<String> kept) {
         bans.addAll(kept);
         kept.forEach(this::showIfTold);
     }
 
-    /** Takes the bans that the process beside this one has decided on, in place of those that held here. */
+    /**
+     * Takes the bans that the process beside this one has decided on, in place of those that held
+     * here.
+     */
     public synchronized void setBans(Collection<String> decidedBeside) {
         Set<String> changed = new LinkedHashSet<>(bans);
         changed.addAll(decidedBeside);
@@ -243,9 +307,9 @@
     }
 
     /**
-     * Bans a node by its exact id: nothing new starts there once this returns, whatever later lists say of it
-     * and however often it restarts, until {@link #include}. A ban that holds is ALREADY, listed or not; an
-     * id that is neither banned nor listed is UNKNOWN_NODE, and changes nothing.
+     * Bans a node by its exact id: nothing new starts there once this returns, whatever later lists
+     * say of it and however often it restarts, until {@link #include}. A ban that holds is ALREADY,
+     * listed or not; an id that is neither banned nor listed is UNKNOWN_NODE, and changes nothing.
      */
     public synchronized Result exclude(String node) {
         if (bans.contains(node)) {
@@ -261,10 +325,14 @@
         return new Result(Kind.DONE, node, List.of());
     }
 
-    /** Takes a ban back, however many times it was given: the node is what the sources say of it. */
+    /**
+     * Takes a ban back, however many times it was given: the node is what the sources say of it.
+     */
     public synchronized Result include(String node) {
         if (!bans.remove(node)) {
-            return told.containsKey(node) ? new Result(Kind.ALREADY, node, List.of()) : unknown(node);
+            return told.containsKey(node)
+                    ? new Result(Kind.ALREADY, node, List.of())
+                    : unknown(node);
         }
         showIfTold(node);
         decided.decided(NODE + node, INCLUDE);
@@ -276,13 +344,21 @@
         return List.copyOf(bans);
     }
 
-    /** Takes in the views: a drain is done when nothing is out or held there. Returns the newly done. */
+    /**
+     * Takes in the views: a drain is done when nothing is out or held there. Returns the newly
+     * done.
+     */
     public synchronized List<HandDrain> seen(List<NodeFact> facts) {
-        Set<String> busy = facts.stream().filter(fact -> fact.view().outUnits() > 0 || fact.view().held() > 0)
-                .map(fact -> fact.known().id()).collect(Collectors.toSet());
-        List<HandDrain> done = drains.values().stream()
-                .filter(drain -> !drain.done() && !busy.contains(drain.node())).map(HandDrain::ended)
-                .toList();
+        Set<String> busy =
+                facts.stream()
+                        .filter(fact -> fact.view().outUnits() > 0 || fact.view().held() > 0)
+                        .map(fact -> fact.known().id())
+                        .collect(Collectors.toSet());
+        List<HandDrain> done =
+                drains.values().stream()
+                        .filter(drain -> !drain.done() && !busy.contains(drain.node()))
+                        .map(HandDrain::ended)
+                        .toList();
         done.forEach(drain -> drains.put(drain.node(), drain));
         return done;
     }
--- a/src/main/java/cypressglade/operate/Handover.java
+++ b/src/main/java/cypressglade/operate/Handover.java
@@ -1,16 +1,15 @@
 package cypressglade.operate;
 
 /**
- * How many processes serve as one scheduler while an upgrade hands over, from what each process sees in the
- * directory that they share. No I/O: the caller looks, this decides.
+ * How many processes serve as one scheduler while an upgrade hands over, from what each process
+ * sees in the directory that they share. No I/O: the caller looks, this decides.
  *
- * <p>The process that serves holds a lock there; one that starts beside it cannot take the lock and says so
- * by a mark. Both count two from then on, each taking half of the instance's limits, until the lock is
- * free (the first is gone) and the newcomer has taken it.
+ * <p>The process that serves holds a lock there; one that starts beside it cannot take the lock and
+ * says so by a mark. Both count two from then on, each taking half of the instance's limits, until
+ * the lock is free (the first is gone) and the newcomer has taken it.
  */
 public final class Handover {
-    private Handover() {
-    }
+    private Handover() {}
 
     /**
      * The processes that serve as this instance.
--- a/src/main/java/cypressglade/operate/Picture.java
+++ b/src/main/java/cypressglade/operate/Picture.java
@@ -6,5 +6,9 @@
 import java.util.List;
 
 /** What a scheduler looked like at one time; never changes after. */
-public record Picture(Instant at, List<NodeFact> nodes, List<String> classes, Load load,
-        List<HandDrain> drains) { }
+public record Picture(
+        Instant at,
+        List<NodeFact> nodes,
+        List<String> classes,
+        Load load,
+        List<HandDrain> drains) {}
--- a/src/main/java/cypressglade/operate/Pictures.java
+++ b/src/main/java/cypressglade/operate/Pictures.java
@@ -8,9 +8,9 @@
 import java.util.function.Consumer;
 
 /**
- * Makes pictures only while somebody looks, and no more than four a second however many look: whoever asks
- * within that time of the last gets the last, whoever asks while one is made waits for it. Safe for several
- * threads.
+ * Makes pictures only while somebody looks, and no more than four a second however many look:
+ * whoever asks within that time of the last gets the last, whoever asks while one is made waits for
+ * it. Safe for several threads.
  */
 public final class Pictures {
     private static final Duration GAP = Duration.ofMillis(250);
