--- a/src/test/java/cypressglade/control/ControlTest.java
+++ b/src/test/java/cypressglade/control/ControlTest.java
@@ -40,16 +40,17 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final CountDownLatch answerWrite = new CountDownLatch(1);
-    private final HttpPeer node = new HttpPeer((request, out) -> {
-        if (request.first().startsWith("PUT")) {
-            answerWrite.await();
-        }
-        HttpPeer.answer(200, "", "the data").answer(request, out);
-    });
+    private final HttpPeer node =
+            new HttpPeer(
+                    (request, out) -> {
+                        if (request.first().startsWith("PUT")) {
+                            answerWrite.await();
+                        }
+                        HttpPeer.answer(200, "", "the data").answer(request, out);
+                    });
     private final StorageNode other = new StorageNode(0, false);
     private final List<AutoCloseable> open = new ArrayList<>(List.of(node, other));
-    @TempDir
-    private Path directory;
+    @TempDir private Path directory;
     private ControlConfig config;
     private Site site;
 
@@ -61,8 +62,10 @@
     }
 
     private Site site() throws Exception {
-        Site fresh = new Site(List.of(node.hostPort(), other.hostPort()), new OperatorFiles(Optional.empty(),
-                Optional.empty(), Optional.of(config)));
+        Site fresh =
+                new Site(
+                        List.of(node.hostPort(), other.hostPort()),
+                        new OperatorFiles(Optional.empty(), Optional.empty(), Optional.of(config)));
         open.add(fresh);
         return fresh;
     }
@@ -82,13 +85,23 @@
     }
 
     private JsonNode drain(String command) throws IOException {
-        return call("drain", Map.of("node", "s-0", "force", "true", "command", command, "who", "ann", "why", "disk"));
+        return call(
+                "drain",
+                Map.of(
+                        "node", "s-0", "force", "true", "command", command, "who", "ann", "why",
+                        "disk"));
     }
 
     private int ask(String method) throws IOException {
-        return site.ask(Site.request(method, "/job-" + (method.equals("GET") ? "read" : "write")
-                + "/00000003b4d60021/7f3a9c21e0b4d655", Site.headers(900, "standard", "units=2,shard=0,hosts=1"),
-                method.equals("GET") ? "" : "x")).status();
+        return site.ask(
+                        Site.request(
+                                method,
+                                "/job-"
+                                        + (method.equals("GET") ? "read" : "write")
+                                        + "/00000003b4d60021/7f3a9c21e0b4d655",
+                                Site.headers(900, "standard", "units=2,shard=0,hosts=1"),
+                                method.equals("GET") ? "" : "x"))
+                .status();
     }
 
     private JsonNode events() throws IOException {
@@ -102,55 +115,68 @@
         assertThat(view.path("nodes").findValuesAsText("id")).containsExactly("s-0", "s-1");
         assertThat(view.path("nodes").path(0).path("state").asText()).isEqualTo("ready");
         assertThat(view.path("nodes").path(0).path("answers").asInt()).isEqualTo(1);
-        assertThat(view.path("queues").findValuesAsText("class")).containsExactly("job-read", "job-write");
+        assertThat(view.path("queues").findValuesAsText("class"))
+                .containsExactly("job-read", "job-write");
         assertThat(view.path("counters").path("answered_served").asInt()).isEqualTo(1);
         assertThat(view.path("given_up").path("no_node").asInt()).isZero();
         assertThat(call("settings", Map.of()).path("settings").findValuesAsText("setting"))
                 .contains("discovery", "class job-read", "plan basic");
     }
 
-    /** A write that runs ends where it runs, nothing new starts, and nothing of it goes elsewhere. */
+    /**
+     * A write that runs ends where it runs, nothing new starts, and nothing of it goes elsewhere.
+     */
     @Test
     void drainLetsWritesEndAndStartsNothingNew() throws Exception {
-        CompletableFuture<Integer> write = CompletableFuture.supplyAsync(() -> {
-            try {
-                return ask("PUT");
-            } catch (IOException failed) {
-                throw new IllegalStateException(failed);
-            }
-        });
+        CompletableFuture<Integer> write =
+                CompletableFuture.supplyAsync(
+                        () -> {
+                            try {
+                                return ask("PUT");
+                            } catch (IOException failed) {
+                                throw new IllegalStateException(failed);
+                            }
+                        });
         Site.await(() -> node.requests.size() == 1);
         assertThat(drain("one").path("acted").asBoolean()).isTrue();
         assertThat(ask("GET")).isEqualTo(503);
-        assertThat(call("view", Map.of()).path("nodes").findValuesAsText("state")).contains("drained by hand");
+        assertThat(call("view", Map.of()).path("nodes").findValuesAsText("state"))
+                .contains("drained by hand");
         assertThat(events().findValuesAsText("event")).doesNotContain("drain.done");
         answerWrite.countDown();
         assertThat(write.get()).isEqualTo(200);
-        Site.await(() -> {
-            try {
-                return events().findValuesAsText("event").contains("drain.done");
-            } catch (IOException failed) {
-                throw new IllegalStateException(failed);
-            }
-        });
-        assertThat(call("view", Map.of()).path("nodes").findValuesAsText("state")).contains("drained by hand");
+        Site.await(
+                () -> {
+                    try {
+                        return events().findValuesAsText("event").contains("drain.done");
+                    } catch (IOException failed) {
+                        throw new IllegalStateException(failed);
+                    }
+                });
+        assertThat(call("view", Map.of()).path("nodes").findValuesAsText("state"))
+                .contains("drained by hand");
         assertThat(node.requests).hasSize(1);
         assertThat(other.arrivals).isEmpty();
     }
 
-    /** Typed twice, from two consoles at once, replayed, and given again after a restart: it acts once. */
+    /**
+     * Typed twice, from two consoles at once, replayed, and given again after a restart: it acts
+     * once.
+     */
     @Test
     void drainActsOnceAndOutlivesARestartAndWhatDiscoverySays() throws Exception {
         List<CompletableFuture<Boolean>> both = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             String command = "c" + i % 4;
-            both.add(CompletableFuture.supplyAsync(() -> {
-                try {
-                    return drain(command).path("acted").asBoolean();
-                } catch (IOException failed) {
-                    throw new IllegalStateException(failed);
-                }
-            }));
+            both.add(
+                    CompletableFuture.supplyAsync(
+                            () -> {
+                                try {
+                                    return drain(command).path("acted").asBoolean();
+                                } catch (IOException failed) {
+                                    throw new IllegalStateException(failed);
+                                }
+                            }));
         }
         assertThat(both.stream().filter(CompletableFuture::join).count()).isEqualTo(1);
         site.tell(42, 0, node.hostPort(), "active");
@@ -176,12 +202,21 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"drain|{\"node\":\"x\"}|no node is called", "drain|{\"node\":\"s-\"}|fits several",
-        "drain|{\"node\":\"s-1\"}|alone holds shard 1", "fly|{}|is not known here"})
+    @ValueSource(
+            strings = {
+                "drain|{\"node\":\"x\"}|no node is called",
+                "drain|{\"node\":\"s-\"}|fits several",
+                "drain|{\"node\":\"s-1\"}|alone holds shard 1",
+                "fly|{}|is not known here"
+            })
     void ordersThatCannotBeCarriedOutSayWhatToDo(String row) throws Exception {
         String[] parts = row.split("\\|");
-        JsonNode answer = call(parts[0], JSON.readValue(parts[1], Map.class).isEmpty() ? Map.of()
-                : Map.of("node", JSON.readTree(parts[1]).path("node").asText()));
+        JsonNode answer =
+                call(
+                        parts[0],
+                        JSON.readValue(parts[1], Map.class).isEmpty()
+                                ? Map.of()
+                                : Map.of("node", JSON.readTree(parts[1]).path("node").asText()));
         assertThat(answer.path("ok").asBoolean()).isFalse();
         assertThat(answer.path("error").asText()).contains(parts[2]);
         assertThat(answer.path("remedy").asText()).isNotEmpty();
@@ -216,8 +251,16 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"no json\n", "[]\n", "{\"v\":2,\"do\":\"view\"}\n", "{\"v\":1}\n",
-        "{\"v\":1,\"do\":{\"x\":1}}\n", "{\"v\":1,\"do\":\"view\"} {}\n", "\u0000\u0001\n"})
+    @ValueSource(
+            strings = {
+                "no json\n",
+                "[]\n",
+                "{\"v\":2,\"do\":\"view\"}\n",
+                "{\"v\":1}\n",
+                "{\"v\":1,\"do\":{\"x\":1}}\n",
+                "{\"v\":1,\"do\":\"view\"} {}\n",
+                "\u0000\u0001\n"
+            })
     void badLinesAreRefusedAndEndTheirConnectionOnly(String line) throws Exception {
         assertThat(readToEnd(raw(line))).contains("\"ok\":false").contains("\"remedy\"");
         assertThat(call("view", Map.of()).path("ok").asBoolean()).isTrue();
@@ -229,7 +272,10 @@
         assertThat(call("view", Map.of()).path("ok").asBoolean()).isTrue();
     }
 
-    /** Guards against memory held for clients that do not read, and against requests that wait for them. */
+    /**
+     * Guards against memory held for clients that do not read, and against requests that wait for
+     * them.
+     */
     @Test
     void clientsThatStopReadingLoseFramesOrTheirConnection() throws Exception {
         raw("{\"v\":1,\"do\":\"watch\"}\n");
@@ -256,12 +302,15 @@
     @Test
     void liveSocketIsLeftAloneAStaleOneTakenOverAndAnOpenDirectoryRefused() throws Exception {
         assertThat(Files.getPosixFilePermissions(config.socket())).hasSize(2);
-        assertThatThrownBy(this::site).isInstanceOf(IOException.class).hasMessageContaining("a scheduler that runs");
+        assertThatThrownBy(this::site)
+                .isInstanceOf(IOException.class)
+                .hasMessageContaining("a scheduler that runs");
         open.remove(site);
         site.close();
         assertThat(config.socket()).doesNotExist();
-        ServerSocketChannel dead = ServerSocketChannel.open(java.net.StandardProtocolFamily.UNIX)
-                .bind(UnixDomainSocketAddress.of(config.socket()));
+        ServerSocketChannel dead =
+                ServerSocketChannel.open(java.net.StandardProtocolFamily.UNIX)
+                        .bind(UnixDomainSocketAddress.of(config.socket()));
         dead.close(); // the file stays, as after a kill
         assertThat(config.socket()).exists();
         site = site();
@@ -269,27 +318,37 @@
         open.remove(site);
         site.close();
         Files.setPosixFilePermissions(directory, PosixFilePermissions.fromString("rwxr-x---"));
-        assertThatThrownBy(this::site).isInstanceOf(IOException.class).hasMessageContaining("chmod 700");
+        assertThatThrownBy(this::site)
+                .isInstanceOf(IOException.class)
+                .hasMessageContaining("chmod 700");
     }
 
     /** Guards against a client that holds a place with half a line; the clock is the test's. */
     @Test
     void halfALineIsWaitedForForABoundedTime() throws Exception {
-        ControlConfig own = new ControlConfig(Files.createDirectory(directory.resolve("own"),
-                PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rwx------"))));
+        ControlConfig own =
+                new ControlConfig(
+                        Files.createDirectory(
+                                directory.resolve("own"),
+                                PosixFilePermissions.asFileAttribute(
+                                        PosixFilePermissions.fromString("rwx------"))));
         Instant[] now = {Time.now()};
-        try (ControlServer server = new ControlServer(own.socket(), new ControlServer.Handler() {
-            @Override
-            public void called(Call call, Consumer<byte[]> answer) { }
+        try (ControlServer server =
+                new ControlServer(
+                        own.socket(),
+                        new ControlServer.Handler() {
+                            @Override
+                            public void called(Call call, Consumer<byte[]> answer) {}
 
-            @Override
-            public void tick() {
-                now[0] = now[0].plusSeconds(1);
-            }
+                            @Override
+                            public void tick() {
+                                now[0] = now[0].plusSeconds(1);
+                            }
 
-            @Override
-            public void frame(Consumer<byte[]> line) { }
-        }, () -> now[0])) {
+                            @Override
+                            public void frame(Consumer<byte[]> line) {}
+                        },
+                        () -> now[0])) {
             server.start();
             config = own;
             assertThat(readToEnd(raw("{\"v\":1,"))).isEmpty();
--- a/src/test/java/cypressglade/core/BrainTest.java
+++ b/src/test/java/cypressglade/core/BrainTest.java
@@ -12,12 +12,12 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayList;
-import java.util.List;
 import cypressglade.core.Scheduler.ListKind;
 import cypressglade.core.Scheduler.Scope;
 import cypressglade.core.Scheduler.State;
 import cypressglade.core.Scheduler.Status;
+import java.util.ArrayList;
+import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** The mechanism and the rules, through the interface. */
@@ -40,7 +40,9 @@
         int out = fill(head);
         head.ask(501, 0, READ, PLAIN, 1, 1500, 501);
         head.end(1, 0, 0, Status.OK, 40);
-        assertEquals("send 501 0", head.log.stream().filter(l -> l.startsWith("send")).skip(out).findFirst().get());
+        assertEquals(
+                "send 501 0",
+                head.log.stream().filter(l -> l.startsWith("send")).skip(out).findFirst().get());
     }
 
     @Test
@@ -124,7 +126,10 @@
             head.pass(100);
             boolean again = head.count("send") > 1 || head.count("refuse") > 0;
             assertEquals(!status.mayHaveRun, again, status.name());
-            assertEquals(status.mayHaveRun && status != Status.OK ? 1 : 0, head.count("fail"), status.name());
+            assertEquals(
+                    status.mayHaveRun && status != Status.OK ? 1 : 0,
+                    head.count("fail"),
+                    status.name());
         }
     }
 
@@ -142,7 +147,10 @@
         assertEquals(List.of("send 1 0", "refuse 1"), all.log);
     }
 
-    /** Connections of live nodes are reset too: what may run twice goes again, once; what may not fails at once. */
+    /**
+     * Connections of live nodes are reset too: what may run twice goes again, once; what may not
+     * fails at once.
+     */
     @Test
     void oneResetIsTriedAgainWhereTheClassAllowsAndASecondTakesTheNodeForDown() {
         Head head = new Head().start(1);
@@ -162,7 +170,10 @@
         assertEquals(0, head.count("send 4"));
     }
 
-    /** Guards against a repeat that waited behind others until its key is forgotten, and then ran twice. */
+    /**
+     * Guards against a repeat that waited behind others until its key is forgotten, and then ran
+     * twice.
+     */
     @Test
     void keyedRequestIsNotRepeatedAtTheEndOfItsKeysTime() {
         for (long waits : new long[] {500, 1500}) { // of 2 s, of which the first half is used
@@ -203,7 +214,10 @@
         assertEquals(1, head.count("fail 1"));
     }
 
-    /** Guards against learning only from what came in time: a crowded node would look quick to short patience. */
+    /**
+     * Guards against learning only from what came in time: a crowded node would look quick to short
+     * patience.
+     */
     @Test
     void attemptsThatAShortPatienceEndedTeachThatTheNodeIsSlow() {
         Head head = new Head();
@@ -283,7 +297,9 @@
             }
             sent += 2.0 * head.count("send");
         }
-        assertTrue(sent <= 15.0 * 10 / 2 + 3 * 4, "three lives in 15 s at half of 10 units/s and slack: " + sent);
+        assertTrue(
+                sent <= 15.0 * 10 / 2 + 3 * 4,
+                "three lives in 15 s at half of 10 units/s and slack: " + sent);
         assertTrue(sent >= 40, "most of its part is used: " + sent);
     }
 
@@ -352,9 +368,12 @@
             sum += 2.0 * head.count("send 100 0");
         }
         assertTrue(sum >= 8, "a cold node gets work early: " + sum);
-        // Nodes were seen to take 2 units in 40 ms, 4.6 units of work with the latency; a quarter of it when cold.
+        // Nodes were seen to take 2 units in 40 ms, 4.6 units of work with the latency; a quarter
+        // of it when cold.
         double fallsOverAt = 3 * 3 * 4.6 / 0.040 * 0.25 * 1.9;
-        assertTrue(sum <= 0.5 * fallsOverAt, "and by 3 s of its ramp half of what it falls over at: " + sum);
+        assertTrue(
+                sum <= 0.5 * fallsOverAt,
+                "and by 3 s of its ramp half of what it falls over at: " + sum);
     }
 
     @Test
@@ -397,7 +416,10 @@
         head.end(1, 0, 0, Status.RESET, 5);
         head.end(1, 1, 0, Status.RESET, 5);
         head.read(2, 0);
-        assertEquals(2, head.count("send"), "a second reset with no answer between: nothing new at once");
+        assertEquals(
+                2,
+                head.count("send"),
+                "a second reset with no answer between: nothing new at once");
         assertEquals(1, head.answers(2));
         head.pass(400);
         head.read(3, 0);
@@ -418,7 +440,8 @@
             head.end(100 + id, 0, 0, Status.ERROR, 2);
         }
         head.ask(200, Scheduler.ANY_SHARD, WRITE, PLAIN, 2, 3000, 200);
-        assertTrue(head.log.contains("send 200 1"), "errors come fast, but the node serves nothing");
+        assertTrue(
+                head.log.contains("send 200 1"), "errors come fast, but the node serves nothing");
     }
 
     @Test
@@ -503,7 +526,9 @@
         for (int id = 1; id <= 40; id++) {
             head.ask(id, 0, WRITE, PLAIN, 2, 3000, id);
         }
-        assertTrue(40 - head.count("refuse") <= 15, "wanted within 600 ms, yet reads are wanted within 300 ms");
+        assertTrue(
+                40 - head.count("refuse") <= 15,
+                "wanted within 600 ms, yet reads are wanted within 300 ms");
     }
 
     @Test
@@ -519,7 +544,8 @@
         head.pass(1000);
         head.ask(2, 0, READ, LIMITED, 1, 1500, 2);
         head.pass(50);
-        assertEquals(1, head.answers(2) + head.count("send 2"), "decided also when the probe is lost");
+        assertEquals(
+                1, head.answers(2) + head.count("send 2"), "decided also when the probe is lost");
     }
 
     @Test
@@ -543,7 +569,8 @@
             other.ask(id, 0, READ, PLAIN, 2, 1500, id);
             same.ask(id, 0, READ, PLAIN, 2, 1500, 1);
         }
-        assertTrue(same.count("refuse") < other.count("refuse"), "a run on one piece is refused less");
+        assertTrue(
+                same.count("refuse") < other.count("refuse"), "a run on one piece is refused less");
     }
 
     @Test
@@ -555,7 +582,8 @@
             head.end(i, 0, i, Status.TIMEOUT, 40);
             head.pass(1500);
         }
-        for (String table : List.of("nodes", "volumes", "keyRests", "turnedAway", "open", "turns")) {
+        for (String table :
+                List.of("nodes", "volumes", "keyRests", "turnedAway", "open", "turns")) {
             java.lang.reflect.Field field = Brain.class.getDeclaredField(table);
             field.setAccessible(true);
             int size = ((java.util.Map<?, ?>) field.get(head.brain())).size();
--- a/src/test/java/cypressglade/core/FleetTest.java
+++ b/src/test/java/cypressglade/core/FleetTest.java
@@ -35,7 +35,10 @@
         head.end(id, 0, shard, Status.OK, latencyMs);
     }
 
-    /** Guards against a probe for nearly every request, where each of many heads hears a node seldom. */
+    /**
+     * Guards against a probe for nearly every request, where each of many heads hears a node
+     * seldom.
+     */
     @ParameterizedTest
     @CsvSource({"0, 20, 20", "0.011, 20, 20", "0.08, 0, 0", "0.015, 20, 20"})
     void whatProbesCostDecidesHowOftenAHeadAsksFirst(double price, int least, int most) {
@@ -53,7 +56,10 @@
         assertThat(head.count("probe")).isBetween((long) least, (long) most);
     }
 
-    /** Guards against a silent node that spends what it has on tests: they come as often from 4 as from 56. */
+    /**
+     * Guards against a silent node that spends what it has on tests: they come as often from 4 as
+     * from 56.
+     */
     @ParameterizedTest
     @ValueSource(ints = {4, 14, 56})
     void allHeadsTogetherTestASilentNodeAtOnePace(int heads) {
@@ -89,8 +95,9 @@
     }
 
     /**
-     * The figure that any node bears is a tenth of what these bear: all heads use what they have seen nodes do,
-     * and stay under six tenths of what a node falls over at, in each window of the rule.
+     * The figure that any node bears is a tenth of what these bear: all heads use what they have
+     * seen nodes do, and stay under six tenths of what a node falls over at, in each window of the
+     * rule.
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 4, 14})
@@ -127,7 +134,9 @@
             window += sums[i] - (i >= 10 ? sums[i - 10] : 0);
             double warmth = 1 + 3 * Math.min(1, 0.3 * (i + 1) / 10);
             double fallsOverAt = 3 * 3 * 4.6 / 0.040 * 0.25 * warmth;
-            assertThat(window).as("units in the 3 s up to " + 0.3 * (i + 1) + " s").isLessThan(0.6 * fallsOverAt);
+            assertThat(window)
+                    .as("units in the 3 s up to " + 0.3 * (i + 1) + " s")
+                    .isLessThan(0.6 * fallsOverAt);
         }
         assertThat(window).as("a node that warms up is used").isGreaterThan(4 * 3);
     }
--- a/src/test/java/cypressglade/core/Head.java
+++ b/src/test/java/cypressglade/core/Head.java
@@ -1,7 +1,5 @@
 package cypressglade.core;
 
-import java.util.ArrayList;
-import java.util.List;
 import cypressglade.core.Scheduler.Effect;
 import cypressglade.core.Scheduler.Limits;
 import cypressglade.core.Scheduler.ListKind;
@@ -14,8 +12,12 @@
 import cypressglade.core.Scheduler.Settings;
 import cypressglade.core.Scheduler.State;
 import cypressglade.core.Scheduler.Status;
+import java.util.ArrayList;
+import java.util.List;
 
-/** One head under test: feeds events to a {@link Brain} and keeps what it orders, as short lines. */
+/**
+ * One head under test: feeds events to a {@link Brain} and keeps what it orders, as short lines.
+ */
 final class Head implements Scheduler.Actions {
     static final int READ = 0;
     static final int WRITE = 1;
@@ -34,14 +36,17 @@
 
     /** Rules and permissions of the head; change before {@link #start}. */
     int heads = 4;
+
     Scope scope = Scope.CELL;
     boolean onRequest;
     boolean probes = true;
     boolean budget;
     double freeResends;
     double youngUnits = 40;
+
     /** Whether healthy nodes answer probes by themselves; such probes are not logged. */
     boolean probesAnswered = true;
+
     int rank;
     double probePrice;
 
@@ -67,9 +72,29 @@
         ask(id, shard, type, plan, units, leftMs, key, 7);
     }
 
-    void ask(long id, int shard, int type, int plan, double units, long leftMs, long key, long volume) {
-        brain.request(now, new Request(id, shard, type, plan, heads, false, type == WRITE, volume, key, (float) units,
-                leftMs * MS));
+    void ask(
+            long id,
+            int shard,
+            int type,
+            int plan,
+            double units,
+            long leftMs,
+            long key,
+            long volume) {
+        brain.request(
+                now,
+                new Request(
+                        id,
+                        shard,
+                        type,
+                        plan,
+                        heads,
+                        false,
+                        type == WRITE,
+                        volume,
+                        key,
+                        (float) units,
+                        leftMs * MS));
         answerProbes();
     }
 
@@ -88,8 +113,18 @@
     }
 
     void end(long id, int attempt, int shard, Status status, long latencyMs) {
-        brain.outcome(now, new Outcome(id, attempt, 100 + shard, status, latencyMs * MS, status == Status.OK, 0, 0,
-                new float[0]));
+        brain.outcome(
+                now,
+                new Outcome(
+                        id,
+                        attempt,
+                        100 + shard,
+                        status,
+                        latencyMs * MS,
+                        status == Status.OK,
+                        0,
+                        0,
+                        new float[0]));
     }
 
     void withdraw(long id) {
@@ -127,23 +162,123 @@
 
     /** Final answers given to a request by the head itself. */
     long answers(long id) {
-        return log.stream().filter(line -> line.equals("refuse " + id) || line.equals("fail " + id)).count();
+        return log.stream()
+                .filter(line -> line.equals("refuse " + id) || line.equals("fail " + id))
+                .count();
     }
 
     Settings settings() {
-        Limits limits = new Limits(4, true, probes, false, true, true, 500 * MS, 1000 * MS, 0, budget,
-                freeResends, 0, 5_000_000, 0.25, 10_000_000, 3, 3_000_000, youngUnits, 200 * MS,
-                1);
-        List<RequestClass> classes = List.of(
-                new RequestClass("a", 300 * MS, 0, 1500 * MS, 2, 0.2, Effect.SAFE, Scope.ALL, 0, false, false, false),
-                new RequestClass("b", 600 * MS, 0, 3000 * MS, 3, 0.1, Effect.UNSAFE, Scope.ALL, 0, false, false, true),
-                new RequestClass("c", 2000 * MS, 0, 6000 * MS, 1, 0.2, Effect.SAFE, Scope.ALL, 0, false, false, false),
-                new RequestClass("d", 600 * MS, 0, 3000 * MS, 2, 0.1, Effect.KEYED, scope, 2000 * MS, false, false,
-                        true),
-                new RequestClass("e", 600 * MS, 0, 3000 * MS, 2, 0.1, Effect.SAFE, Scope.ALL, 0, true, false, false));
-        List<Plan> plans = List.of(new Plan("p", 1000, 1000, 1, 1, 0, 0, 0), new Plan("q", 2, 0, 1, 1, 10, 32, 8));
-        return new Settings(42, rank, heads, 0, onRequest, 2 * MS, classes, plans, List.of(), limits, 2, 8, 0.3, 0.05,
-                0, false, probePrice);
+        Limits limits =
+                new Limits(
+                        4,
+                        true,
+                        probes,
+                        false,
+                        true,
+                        true,
+                        500 * MS,
+                        1000 * MS,
+                        0,
+                        budget,
+                        freeResends,
+                        0,
+                        5_000_000,
+                        0.25,
+                        10_000_000,
+                        3,
+                        3_000_000,
+                        youngUnits,
+                        200 * MS,
+                        1);
+        List<RequestClass> classes =
+                List.of(
+                        new RequestClass(
+                                "a",
+                                300 * MS,
+                                0,
+                                1500 * MS,
+                                2,
+                                0.2,
+                                Effect.SAFE,
+                                Scope.ALL,
+                                0,
+                                false,
+                                false,
+                                false),
+                        new RequestClass(
+                                "b",
+                                600 * MS,
+                                0,
+                                3000 * MS,
+                                3,
+                                0.1,
+                                Effect.UNSAFE,
+                                Scope.ALL,
+                                0,
+                                false,
+                                false,
+                                true),
+                        new RequestClass(
+                                "c",
+                                2000 * MS,
+                                0,
+                                6000 * MS,
+                                1,
+                                0.2,
+                                Effect.SAFE,
+                                Scope.ALL,
+                                0,
+                                false,
+                                false,
+                                false),
+                        new RequestClass(
+                                "d",
+                                600 * MS,
+                                0,
+                                3000 * MS,
+                                2,
+                                0.1,
+                                Effect.KEYED,
+                                scope,
+                                2000 * MS,
+                                false,
+                                false,
+                                true),
+                        new RequestClass(
+                                "e",
+                                600 * MS,
+                                0,
+                                3000 * MS,
+                                2,
+                                0.1,
+                                Effect.SAFE,
+                                Scope.ALL,
+                                0,
+                                true,
+                                false,
+                                false));
+        List<Plan> plans =
+                List.of(
+                        new Plan("p", 1000, 1000, 1, 1, 0, 0, 0),
+                        new Plan("q", 2, 0, 1, 1, 10, 32, 8));
+        return new Settings(
+                42,
+                rank,
+                heads,
+                0,
+                onRequest,
+                2 * MS,
+                classes,
+                plans,
+                List.of(),
+                limits,
+                2,
+                8,
+                0.3,
+                0.05,
+                0,
+                false,
+                probePrice);
     }
 
     @Override
--- a/src/test/java/cypressglade/core/HintTest.java
+++ b/src/test/java/cypressglade/core/HintTest.java
@@ -127,9 +127,13 @@
             }
             head.pass(4);
         }
-        double bound = head.youngUnits * (1 + 3 * 1.8 / 10) / heads; // ends 1.8 s into a ramp of 10 s, from 0.25
+        double bound =
+                head.youngUnits
+                        * (1 + 3 * 1.8 / 10)
+                        / heads; // ends 1.8 s into a ramp of 10 s, from 0.25
         assertThat(units).isPositive().isLessThanOrEqualTo(bound);
-        // Who told of the node may have spent this window: until it is over there is only what the ramp adds.
+        // Who told of the node may have spent this window: until it is over there is only what the
+        // ramp adds.
         assertThat(units).isLessThanOrEqualTo(bound - head.youngUnits * 1.3 / heads + 2);
     }
 
--- a/src/test/java/cypressglade/core/MailboxTest.java
+++ b/src/test/java/cypressglade/core/MailboxTest.java
@@ -32,18 +32,30 @@
     void waitsOnThroughAWakeThatBroughtNothing() throws Exception {
         Thread taker = Thread.currentThread();
         LockSupport.unpark(taker);
-        CompletableFuture.runAsync(() -> {
-            LockSupport.unpark(taker);
-            box.add(7);
-        });
+        CompletableFuture.runAsync(
+                () -> {
+                    LockSupport.unpark(taker);
+                    box.add(7);
+                });
         assertThat(box.poll(LONG)).contains(7);
     }
 
     @Test
     void nothingIsLostBetweenManyThatAddAndOneWhoseWaitsRunOut() throws Exception {
         int each = 5000;
-        List<CompletableFuture<Void>> adding = IntStream.range(0, 4).mapToObj(from -> CompletableFuture.runAsync(() ->
-                IntStream.range(0, each).forEach(i -> box.add(from * each + i)))).toList();
+        List<CompletableFuture<Void>> adding =
+                IntStream.range(0, 4)
+                        .mapToObj(
+                                from ->
+                                        CompletableFuture.runAsync(
+                                                () ->
+                                                        IntStream.range(0, each)
+                                                                .forEach(
+                                                                        i ->
+                                                                                box.add(
+                                                                                        from * each
+                                                                                                + i))))
+                        .toList();
         List<Integer> got = new ArrayList<>();
         while (got.size() < 4 * each) {
             box.poll(Duration.ofNanos(20_000)).ifPresent(got::add);
--- a/src/test/java/cypressglade/core/NodeDirectoryTest.java
+++ b/src/test/java/cypressglade/core/NodeDirectoryTest.java
@@ -17,11 +17,24 @@
 /** What is kept of nodes that are replaced all day long. */
 class NodeDirectoryTest {
     private static NodeList list(boolean full, String id, State state) {
-        return new NodeList(1, full, List.of(new NodeList.Entry(id, new InetSocketAddress("127.0.0.1", 1), 0, 0, 0,
-                state, 1, Instant.EPOCH)));
+        return new NodeList(
+                1,
+                full,
+                List.of(
+                        new NodeList.Entry(
+                                id,
+                                new InetSocketAddress("127.0.0.1", 1),
+                                0,
+                                0,
+                                0,
+                                state,
+                                1,
+                                Instant.EPOCH)));
     }
 
-    /** Guards against a table that grows with every replaced node; a number is never given twice. */
+    /**
+     * Guards against a table that grows with every replaced node; a number is never given twice.
+     */
     @Test
     void replacedNodesLeaveNothingBehind() {
         NodeDirectory directory = new NodeDirectory();
@@ -39,14 +52,21 @@
     @Test
     void moduleForgetsANodeThatWentWhileItWasDown() throws Exception {
         AtomicInteger sends = new AtomicInteger();
-        Brain brain = new Brain(1, cypressglade.config.Config.read(java.nio.file.Path.of(
-                "deploy/config.example.json")).settings(), new Orders(sends));
+        Brain brain =
+                new Brain(
+                        1,
+                        cypressglade.config.Config.read(
+                                        java.nio.file.Path.of("deploy/config.example.json"))
+                                .settings(),
+                        new Orders(sends));
         for (int i = 0; i < 10; i++) {
             long now = 1_000_000L * (i + 1);
             brain.nodes(now, ListKind.FULL, List.of(new NodeEntry(i, 0, State.READY, 0, 1, 0, 0)));
             brain.request(now, new Request(i, 0, 0, 1, 1, false, false, 7, i + 1, 1, 900_000));
             brain.probed(now, i, Status.OK, 1000, new float[0]);
-            brain.outcome(now, new Outcome(i, 0, i, Status.CONNECT_FAILED, 1000, false, 0, 0, new float[0]));
+            brain.outcome(
+                    now,
+                    new Outcome(i, 0, i, Status.CONNECT_FAILED, 1000, false, 0, 0, new float[0]));
         }
         assertThat(sends).hasPositiveValue();
         brain.nodes(20_000_000, ListKind.FULL, List.of());
@@ -61,24 +81,24 @@
         }
 
         @Override
-        public void refuse(long requestId, long retryAfterUs) { }
+        public void refuse(long requestId, long retryAfterUs) {}
 
         @Override
-        public void fail(long requestId) { }
+        public void fail(long requestId) {}
 
         @Override
-        public void cancel(long requestId, int attempt) { }
+        public void cancel(long requestId, int attempt) {}
 
         @Override
-        public void probe(long node) { }
+        public void probe(long node) {}
 
         @Override
-        public void timer(long delayUs, long token) { }
+        public void timer(long delayUs, long token) {}
 
         @Override
-        public void tell(long toRank, byte[] text) { }
+        public void tell(long toRank, byte[] text) {}
 
         @Override
-        public void watch(boolean on) { }
+        public void watch(boolean on) {}
     }
 }
--- a/src/test/java/cypressglade/core/PartsTest.java
+++ b/src/test/java/cypressglade/core/PartsTest.java
@@ -35,13 +35,26 @@
         for (; read < head.log.size(); read++) {
             String[] words = head.log.get(read).split(" ");
             if (words[0].equals("send")) {
-                head.end(Long.parseLong(words[1]), 0, Integer.parseInt(words[2]), Scheduler.Status.OK, 1);
+                head.end(
+                        Long.parseLong(words[1]),
+                        0,
+                        Integer.parseInt(words[2]),
+                        Scheduler.Status.OK,
+                        1);
             }
         }
     }
 
     private void parts(double own, double rest, double least, long holdsMs) {
-        head.brain().parts(head.now, new Parts(Map.of(VOLUME, own), Map.of(), rest, least, head.now + holdsMs * MS));
+        head.brain()
+                .parts(
+                        head.now,
+                        new Parts(
+                                Map.of(VOLUME, own),
+                                Map.of(),
+                                rest,
+                                least,
+                                head.now + holdsMs * MS));
     }
 
     /** The plan allows 10 units a second and 32 at once; a fleet's part stands in place of half. */
@@ -57,7 +70,10 @@
         assertThat(spend(4000)).as("word of later is lacking: the least").isBetween(2.0, 6.0);
     }
 
-    /** A store that was filled by a large part is cut at once, and one that grows fills from where it is. */
+    /**
+     * A store that was filled by a large part is cut at once, and one that grows fills from where
+     * it is.
+     */
     @Test
     void aPartThatChangesNeitherKeepsNorMakesUnits() {
         head.heads = 1;
@@ -76,9 +92,15 @@
         head.youngUnits = 40;
         head.start(1);
         head.list(ListKind.DELTA, Head.entry(0, State.READY, head.now));
-        head.brain().parts(head.now, new Parts(Map.of(), Map.of(NODE, 0.5), 0, 0, head.now + 60_000 * MS));
+        head.brain()
+                .parts(
+                        head.now,
+                        new Parts(Map.of(), Map.of(NODE, 0.5), 0, 0, head.now + 60_000 * MS));
         assertThat(head.brain().views(head.now).get(0).coldRoom()).isBetween(19.0, 21.0);
-        head.brain().parts(head.now, new Parts(Map.of(), Map.of(NODE, 0.01), 0, 0, head.now + 60_000 * MS));
+        head.brain()
+                .parts(
+                        head.now,
+                        new Parts(Map.of(), Map.of(NODE, 0.01), 0, 0, head.now + 60_000 * MS));
         assertThat(head.brain().views(head.now).get(0).coldRoom()).isLessThan(1);
     }
 }
--- a/src/test/java/cypressglade/core/RequestLifeTest.java
+++ b/src/test/java/cypressglade/core/RequestLifeTest.java
@@ -40,57 +40,106 @@
     private volatile boolean failing;
     private volatile BooleanSupplier wants;
 
-    private final Caller caller = new Caller() {
-        @Override
-        public void served(byte[] answer) {
-            answeredBy = Thread.currentThread().getName();
-            answers.add("served " + answer.length);
-        }
+    private final Caller caller =
+            new Caller() {
+                @Override
+                public void served(byte[] answer) {
+                    answeredBy = Thread.currentThread().getName();
+                    answers.add("served " + answer.length);
+                }
 
-        @Override
-        public void refused(Duration retryAfter) {
-            answeredBy = Thread.currentThread().getName();
-            answers.add("refused");
-        }
+                @Override
+                public void refused(Duration retryAfter) {
+                    answeredBy = Thread.currentThread().getName();
+                    answers.add("refused");
+                }
 
-        @Override
-        public void failed() {
-            answers.add("failed");
-        }
-    };
-
-    private final NodeLink<String> link = new NodeLink<>() {
-        @Override
-        public Attempt send(long node, String work, Instant until, BooleanSupplier wanted, Consumer<Ending> ended) {
-            if (failing) {
-                throw new IllegalStateException("as an error of the machine would be");
-            }
-            wants = wanted;
-            sent.add(ended);
-            return () -> ended.accept(Ending.of(Status.CANCELLED));
-        }
+                @Override
+                public void failed() {
+                    answers.add("failed");
+                }
+            };
 
-        @Override
-        public void probe(long node, Consumer<Ending> ended) {
-            ended.accept(Ending.of(Status.OK));
-        }
-    };
+    private final NodeLink<String> link =
+            new NodeLink<>() {
+                @Override
+                public Attempt send(
+                        long node,
+                        String work,
+                        Instant until,
+                        BooleanSupplier wanted,
+                        Consumer<Ending> ended) {
+                    if (failing) {
+                        throw new IllegalStateException("as an error of the machine would be");
+                    }
+                    wants = wanted;
+                    sent.add(ended);
+                    return () -> ended.accept(Ending.of(Status.CANCELLED));
+                }
+
+                @Override
+                public void probe(long node, Consumer<Ending> ended) {
+                    ended.accept(Ending.of(Status.OK));
+                }
+            };
 
     private static Settings settings(boolean probes) {
-        RequestClass type = new RequestClass("write", 500_000, 0, 2_000_000, 1, 0.1, Effect.UNSAFE, Scope.ALL, 0,
-                false, false, true);
-        Limits limits = new Limits(2, true, probes, false, false, true, 500_000, 500_000, 0, false, 0, 0, 0, 0.3,
-                1_000_000, 2, 1_000_000, 11, 0, 1);
-        return new Settings(1, 0, 1, 0, false, 2000, List.of(type), List.of(new Plan("p", 9, 9, 1, 1, 0, 0, 0)),
-                List.of(), limits, 2, 6, 0.35, 0.05, 0, false, 0);
+        RequestClass type =
+                new RequestClass(
+                        "write",
+                        500_000,
+                        0,
+                        2_000_000,
+                        1,
+                        0.1,
+                        Effect.UNSAFE,
+                        Scope.ALL,
+                        0,
+                        false,
+                        false,
+                        true);
+        Limits limits =
+                new Limits(
+                        2, true, probes, false, false, true, 500_000, 500_000, 0, false, 0, 0, 0,
+                        0.3, 1_000_000, 2, 1_000_000, 11, 0, 1);
+        return new Settings(
+                1,
+                0,
+                1,
+                0,
+                false,
+                2000,
+                List.of(type),
+                List.of(new Plan("p", 9, 9, 1, 1, 0, 0, 0)),
+                List.of(),
+                limits,
+                2,
+                6,
+                0.35,
+                0.05,
+                0,
+                false,
+                0);
     }
 
     @BeforeEach
     void start() {
         engine = new Engine(settings(true), new NodeDirectory(), counters);
         engine.start(node -> link);
-        engine.told(new NodeList(1, true, List.of(new NodeList.Entry("s-0",
-                new InetSocketAddress("127.0.0.1", 1), 0, 0, 0, State.READY, 1, Instant.EPOCH))));
+        engine.told(
+                new NodeList(
+                        1,
+                        true,
+                        List.of(
+                                new NodeList.Entry(
+                                        "s-0",
+                                        new InetSocketAddress("127.0.0.1", 1),
+                                        0,
+                                        0,
+                                        0,
+                                        State.READY,
+                                        1,
+                                        Instant.EPOCH))));
     }
 
     @AfterEach
@@ -100,15 +149,23 @@
     }
 
     private RequestLife<String> life(Duration time) {
-        return new RequestLife<>(engine, counters, new IoRequest(0, 0, 0, 1, false, true, 7, 8, 2,
-                Time.now().plus(time)), "work", caller, link);
+        return new RequestLife<>(
+                engine,
+                counters,
+                new IoRequest(0, 0, 0, 1, false, true, 7, 8, 2, Time.now().plus(time)),
+                "work",
+                caller,
+                link);
     }
 
     private void begin() {
         assertThat(pool.start(life(Duration.ofSeconds(2)))).isTrue();
     }
 
-    /** Guards against requests with long deadlines that the kill at the end of a stop finds unanswered. */
+    /**
+     * Guards against requests with long deadlines that the kill at the end of a stop finds
+     * unanswered.
+     */
     @Test
     void whatIsOpenWhenTheProgramMustEndIsAnsweredThen() throws Exception {
         assertThat(pool.start(life(Duration.ofSeconds(60)))).isTrue();
@@ -146,8 +203,14 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"OK, served 3, 1", "ERROR, failed, 1", "RESET, failed, 1", "TIMEOUT, failed, 1",
-        "FULL, refused, 2", "MOOT, refused, 1"})
+    @CsvSource({
+        "OK, served 3, 1",
+        "ERROR, failed, 1",
+        "RESET, failed, 1",
+        "TIMEOUT, failed, 1",
+        "FULL, refused, 2",
+        "MOOT, refused, 1"
+    })
     void eachOutcomeHasItsOneAnswer(Status status, String expected, int attempts) throws Exception {
         begin();
         for (int i = 0; i < attempts; i++) {
@@ -168,12 +231,17 @@
         assertThat(counters.get(Counters.Name.REFUSED_NO_ROOM)).isEqualTo(1);
     }
 
-    /** Guards against the module waiting for ever on an attempt whose client left before it was made. */
+    /**
+     * Guards against the module waiting for ever on an attempt whose client left before it was
+     * made.
+     */
     @Test
     void nodeStaysUsableAfterClientsLeftEarly() throws Exception {
         CountDownLatch left = new CountDownLatch(1);
         engine.use(settings(false)); // no probe to wait for: the module orders an attempt at once
-        engine.views(views -> await(left)); // the module hears of none of them until all clients are gone
+        engine.views(
+                views ->
+                        await(left)); // the module hears of none of them until all clients are gone
         for (int i = 0; i < 20; i++) {
             RequestLife<String> life = life(Duration.ofSeconds(2));
             pool.start(life);
@@ -185,7 +253,9 @@
         assertThat(answer()).isEqualTo("served 3");
     }
 
-    /** Guards against an attempt beginning between its client's leave and the task's hearing of it. */
+    /**
+     * Guards against an attempt beginning between its client's leave and the task's hearing of it.
+     */
     @Test
     void anAttemptIsWantedNoMoreAsSoonAsItsClientLeaves() throws Exception {
         RequestLife<String> life = life(Duration.ofSeconds(2));
@@ -201,7 +271,9 @@
         assertThat(answers).isEmpty();
     }
 
-    /** Guards against the module losing an outcome since a late cancel was counted as an attempt. */
+    /**
+     * Guards against the module losing an outcome since a late cancel was counted as an attempt.
+     */
     @Test
     void cancelOfNothingCountsAsNoAttempt() throws Exception {
         RequestLife<String> life = life(Duration.ofSeconds(2));
@@ -228,8 +300,14 @@
     /** A refusal is answered where it is decided: no thread is taken, started or waited for. */
     @Test
     void aRequestThatIsRefusedTakesNoThread() throws Exception {
-        RequestLife<String> unknown = new RequestLife<>(engine, counters, new IoRequest(0, 9, 0, 1, false, true, 7, 8, 2,
-                Time.now().plusSeconds(2)), "work", caller, link);
+        RequestLife<String> unknown =
+                new RequestLife<>(
+                        engine,
+                        counters,
+                        new IoRequest(0, 9, 0, 1, false, true, 7, 8, 2, Time.now().plusSeconds(2)),
+                        "work",
+                        caller,
+                        link);
         pool.start(unknown);
         assertThat(answer()).isEqualTo("refused");
         assertThat(answeredBy).isEqualTo("engine");
--- a/src/test/java/cypressglade/core/SourceLimitsTest.java
+++ b/src/test/java/cypressglade/core/SourceLimitsTest.java
@@ -5,7 +5,6 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Limits on what one file may grow to, for whoever has to read it. */
@@ -14,7 +13,10 @@
     private static final int LONGEST_LINE = 110;
     private static final Path BRAIN = Path.of("src/main/java/cypressglade/core/Brain.java");
 
-    /** Decisions may stand in several modules, so no count is asked of one; what is too large to read is split. */
+    /**
+     * Decisions may stand in several modules, so no count is asked of one; what is too large to
+     * read is split.
+     */
     @Test
     void noSourceFileIsLongerThanTheDecisionModuleIs() throws IOException {
         try (var files = Files.walk(Path.of("src/main"))) {
--- a/src/test/java/cypressglade/core/StartTimesTest.java
+++ b/src/test/java/cypressglade/core/StartTimesTest.java
@@ -48,7 +48,10 @@
         assertThat(start(told, Duration.ofHours(-1))).as("told anew").isEqualTo(first);
     }
 
-    /** A step that was undone before a list came was not seen: the node counts as started now, as cold as can be. */
+    /**
+     * A step that was undone before a list came was not seen: the node counts as started now, as
+     * cold as can be.
+     */
     @Test
     void aTimeThatIsAheadUnderAllStepsCountsAsNow() {
         assertThat(start(NOW.plusSeconds(3600), Duration.ZERO)).isEqualTo(NOW);
--- a/src/test/java/cypressglade/fleet/FleetViewMeasure.java
+++ b/src/test/java/cypressglade/fleet/FleetViewMeasure.java
@@ -9,7 +9,6 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Files;
-import java.nio.file.Path;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,14 +18,18 @@
 import java.util.stream.LongStream;
 
 /**
- * {@code make measure-fleet-view}: the view's four figures from real processes at 5 and 9 members behind fault
- * links, and from the model at 5, 9 and 1,000, all at once; held against {@link Bounds}, and against each other.
+ * {@code make measure-fleet-view}: the view's four figures from real processes at 5 and 9 members
+ * behind fault links, and from the model at 5, 9 and 1,000, all at once; held against {@link
+ * Bounds}, and against each other.
  */
 public final class FleetViewMeasure {
     private static final Timing TIMING = Timing.every(Duration.ofMillis(200));
+
     /** As the standard one, with room for a thousand. */
-    private static final Timing LARGE = new Timing(TIMING.period(), TIMING.answer(), TIMING.helpers(), 2048,
-            TIMING.reconnect());
+    private static final Timing LARGE =
+            new Timing(
+                    TIMING.period(), TIMING.answer(), TIMING.helpers(), 2048, TIMING.reconnect());
+
     private static final int SEEDS = 200;
     private static final int LARGE_SIZE = 1000;
     private static final Duration SPLIT = Duration.ofSeconds(8);
@@ -34,8 +37,10 @@
     private static final Duration LOSS_MODEL = Duration.ofSeconds(20);
     private static final Duration STALL = Duration.ofMillis(400);
     private static final double LOSS = 0.1;
+
     /** Of the probes in the lossy span, those that meet the member that stands still, at most. */
     private static final double ABSENT = 0.05;
+
     private static final Duration WAIT = Duration.ofSeconds(20);
     private static final String DELAY = "0s delay * * 1ms..20ms";
 
@@ -57,17 +62,21 @@
     }
 
     private void run() throws Exception {
-        CompletableFuture<Found> model = CompletableFuture.supplyAsync(() -> model(LARGE, LARGE_SIZE, 1));
+        CompletableFuture<Found> model =
+                CompletableFuture.supplyAsync(() -> model(LARGE, LARGE_SIZE, 1));
         List<Integer> sizes = List.of(5, 9);
-        List<CompletableFuture<Found>> real = sizes.stream()
-                .map(size -> CompletableFuture.supplyAsync(() -> real(size))).toList();
+        List<CompletableFuture<Found>> real =
+                sizes.stream()
+                        .map(size -> CompletableFuture.supplyAsync(() -> real(size)))
+                        .toList();
         for (int i = 0; i < sizes.size(); i++) {
             int size = sizes.get(i);
             Found ran = real.get(i).get();
             Found played = model(TIMING, size, SEEDS);
             say("real_" + size, size, ran);
             say("model_" + size, size, played);
-            // Both seldom meet their worst: the real ones' most lies in the model's range, widened by the margin.
+            // Both seldom meet their worst: the real ones' most lies in the model's range, widened
+            // by the margin.
             within("detect_agrees_" + size, ran.detect, played.detect);
             within("heal_agrees_" + size, ran.heal, played.heal);
         }
@@ -80,13 +89,17 @@
         figures.atMost("detect_ms_p99_" + what, found.detectMost(), bounds.detect().toMillis());
         figures.atMost("heal_ms_p99_" + what, found.healMost(), bounds.heal().toMillis());
         figures.atMost("false_dead_" + what, found.falseDead, 0);
-        figures.atMost("msgs_per_member_period_" + what, found.messages, bounds.messages(LOSS, ABSENT));
+        figures.atMost(
+                "msgs_per_member_period_" + what, found.messages, bounds.messages(LOSS, ABSENT));
     }
 
     private void within(String name, List<Long> ran, List<Long> played) {
         double least = played.get(0) * (1 - Bounds.AGREE);
         double most = played.get(played.size() - 1) * (1 + Bounds.AGREE);
-        figures.atLeast(name, ran.stream().filter(ms -> ms >= least && ms <= most).count() / (double) ran.size(), 1);
+        figures.atLeast(
+                name,
+                ran.stream().filter(ms -> ms >= least && ms <= most).count() / (double) ran.size(),
+                1);
     }
 
     private static long p99(List<Long> sorted) {
@@ -94,16 +107,22 @@
     }
 
     private static List<Long> sorted(long seeds, LongFunction<MemberLab.Result> play) {
-        return LongStream.rangeClosed(1, seeds).parallel().map(seed -> play.apply(seed).millis()).sorted().boxed()
+        return LongStream.rangeClosed(1, seeds)
+                .parallel()
+                .map(seed -> play.apply(seed).millis())
+                .sorted()
+                .boxed()
                 .toList();
     }
 
     private static Found model(Timing timing, int size, int seeds) {
         MemberLab lab = new MemberLab(timing);
-        CompletableFuture<List<Long>> detect = CompletableFuture.supplyAsync(
-                () -> sorted(seeds, seed -> lab.crash(size, seed, 0)));
-        CompletableFuture<List<Long>> heal = CompletableFuture.supplyAsync(
-                () -> sorted(seeds, seed -> lab.heal(size, size * 2 / 5, SPLIT, seed)));
+        CompletableFuture<List<Long>> detect =
+                CompletableFuture.supplyAsync(
+                        () -> sorted(seeds, seed -> lab.crash(size, seed, 0)));
+        CompletableFuture<List<Long>> heal =
+                CompletableFuture.supplyAsync(
+                        () -> sorted(seeds, seed -> lab.heal(size, size * 2 / 5, SPLIT, seed)));
         MemberLab.Result lossy = lab.loss(size, LOSS, LOSS_MODEL, STALL, 1);
         return new Found(detect.join(), heal.join(), lossy.falseDead(), lossy.perMemberPeriod());
     }
@@ -111,7 +130,8 @@
     // ---- real processes
 
     private static Found real(int size) {
-        try (ProcessFleet fleet = new ProcessFleet(Files.createTempDirectory("fleet"), size, TIMING.period(), size)) {
+        try (ProcessFleet fleet =
+                new ProcessFleet(Files.createTempDirectory("fleet"), size, TIMING.period(), size)) {
             fleet.act(DELAY);
             fleet.startAll(size);
             List<Long> detect = new ArrayList<>();
@@ -124,9 +144,14 @@
                 detect.add(fleet.held(fleet.running(), name, State.DEAD, WAIT) - killed);
                 falseDead += fleet.deaths(killed, name, ProcessFleet.name(1)).size();
             }
-            CompletableFuture.allOf(IntStream.rangeClosed(1, 2)
-                    .mapToObj(victim -> CompletableFuture.runAsync(() -> start(fleet, victim)))
-                    .toArray(CompletableFuture[]::new)).get();
+            CompletableFuture.allOf(
+                            IntStream.rangeClosed(1, 2)
+                                    .mapToObj(
+                                            victim ->
+                                                    CompletableFuture.runAsync(
+                                                            () -> start(fleet, victim)))
+                                    .toArray(CompletableFuture[]::new))
+                    .get();
             settle(fleet);
             fleet.act("0s cut " + numbers(0, size * 2 / 5) + " " + numbers(size * 2 / 5, size));
             fleet.pass(SPLIT);
@@ -141,8 +166,12 @@
             fleet.pass(STALL);
             fleet.resume(1);
             fleet.pass(LOSS_REAL.minus(STALL));
-            double periods = (System.currentTimeMillis() - from) / (double) TIMING.period().toMillis();
-            return new Found(detect.stream().sorted().toList(), heal, falseDead + fleet.deaths(from).size(),
+            double periods =
+                    (System.currentTimeMillis() - from) / (double) TIMING.period().toMillis();
+            return new Found(
+                    detect.stream().sorted().toList(),
+                    heal,
+                    falseDead + fleet.deaths(from).size(),
                     (sent(fleet) - before) / periods / size);
         } catch (Exception failed) {
             throw new IllegalStateException("the fleet of " + size, failed);
--- a/src/test/java/cypressglade/fleet/FleetViewTest.java
+++ b/src/test/java/cypressglade/fleet/FleetViewTest.java
@@ -17,8 +17,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Five processes of the program, with faults between them; each test begins with all of them in one view. Times
- * are held against {@link Bounds}, with {@link #BUSY} for a machine that does other work beside.
+ * Five processes of the program, with faults between them; each test begins with all of them in one
+ * view. Times are held against {@link Bounds}, with {@link #BUSY} for a machine that does other
+ * work beside.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class FleetViewTest {
@@ -27,8 +28,7 @@
     private static final Duration BUSY = Duration.ofSeconds(5);
     private static final Duration WAIT = Duration.ofSeconds(40);
 
-    @TempDir
-    static Path folder;
+    @TempDir static Path folder;
     private ProcessFleet fleet;
 
     @BeforeAll
@@ -55,7 +55,9 @@
 
     private void heals(long since, String... gone) {
         long settled = fleet.oneView(WAIT);
-        assertThat(settled - since).as(fleet.text()).isBetween(0L, BOUNDS.heal().plus(BUSY).toMillis());
+        assertThat(settled - since)
+                .as(fleet.text())
+                .isBetween(0L, BOUNDS.heal().plus(BUSY).toMillis());
         fleet.pass(PERIOD.multipliedBy(12));
         assertThat(fleet.deaths(since, gone)).as("nobody flaps once healed").isEmpty();
         assertThat(fleet.oneView(WAIT)).isPositive();
@@ -66,17 +68,24 @@
         String life = fleet.view(0).path("members").findValue("life").asText();
         long killed = fleet.kill(1);
         long held = fleet.held(fleet.running(), "m-1", State.DEAD, WAIT);
-        assertThat(held - killed).as(fleet.text()).isBetween(0L, BOUNDS.detect().plus(BUSY).toMillis());
+        assertThat(held - killed)
+                .as(fleet.text())
+                .isBetween(0L, BOUNDS.detect().plus(BUSY).toMillis());
         assertThat(fleet.deaths(killed, "m-1")).isEmpty();
         long started = now();
         fleet.start(1);
         assertThat(fleet.oneView(WAIT)).as(fleet.text()).isPositive();
         assertThat(fleet.deaths(started, "m-1")).isEmpty();
-        assertThat(fleet.since(started)).filteredOn(event -> event.name().equals("m-1")
-                && event.state().equals("alive")).isNotEmpty().allSatisfy(event -> {
-                    assertThat(event.line().path("member").path("incarnation").asLong()).isPositive();
-                    assertThat(event.line().path("member").path("life").asText()).isNotEqualTo(life);
-                });
+        assertThat(fleet.since(started))
+                .filteredOn(event -> event.name().equals("m-1") && event.state().equals("alive"))
+                .isNotEmpty()
+                .allSatisfy(
+                        event -> {
+                            assertThat(event.line().path("member").path("incarnation").asLong())
+                                    .isPositive();
+                            assertThat(event.line().path("member").path("life").asText())
+                                    .isNotEqualTo(life);
+                        });
     }
 
     @Test
@@ -84,22 +93,31 @@
         long cut = now();
         fleet.act("0s cut 0,1 2,3,4");
         for (String name : List.of("m-2", "m-3", "m-4")) {
-            assertThat(fleet.held(List.of(0, 1), name, State.DEAD, WAIT) - cut).as(fleet.text())
+            assertThat(fleet.held(List.of(0, 1), name, State.DEAD, WAIT) - cut)
+                    .as(fleet.text())
                     .isBetween(0L, BOUNDS.split(2).plus(BUSY).toMillis());
         }
         for (String name : List.of("m-0", "m-1")) {
-            assertThat(fleet.held(List.of(2, 3, 4), name, State.DEAD, WAIT) - cut).as(fleet.text())
+            assertThat(fleet.held(List.of(2, 3, 4), name, State.DEAD, WAIT) - cut)
+                    .as(fleet.text())
                     .isBetween(0L, BOUNDS.split(3).plus(BUSY).toMillis());
         }
         fleet.pass(Duration.ofSeconds(10).minusMillis(now() - cut));
-        assertThat(fleet.deaths(cut)).as("each side is of one mind about itself")
-                .allMatch(event -> event.seenBy() < 2 == List.of("m-2", "m-3", "m-4").contains(event.name()));
+        assertThat(fleet.deaths(cut))
+                .as("each side is of one mind about itself")
+                .allMatch(
+                        event ->
+                                event.seenBy() < 2
+                                        == List.of("m-2", "m-3", "m-4").contains(event.name()));
         long healed = now();
         fleet.hub().change(Faults::mend);
         heals(healed);
     }
 
-    /** One hears the other, which does not hear it: the others ask for them, and nobody is taken for dead. */
+    /**
+     * One hears the other, which does not hear it: the others ask for them, and nobody is taken for
+     * dead.
+     */
     @Test
     void aLinkThatIsCutOneWayCostsNobody() throws Exception {
         long cut = now();
@@ -114,8 +132,11 @@
     void aDeafMemberIsLostAloneAndComesBack() throws Exception {
         long cut = now();
         fleet.act("0s cut-one-way 0,1,2,4 3");
-        assertThat(fleet.held(List.of(0, 1, 2, 4), "m-3", State.DEAD, WAIT)).as(fleet.text()).isPositive();
-        assertThat(fleet.deaths(cut)).filteredOn(event -> event.seenBy() != 3)
+        assertThat(fleet.held(List.of(0, 1, 2, 4), "m-3", State.DEAD, WAIT))
+                .as(fleet.text())
+                .isPositive();
+        assertThat(fleet.deaths(cut))
+                .filteredOn(event -> event.seenBy() != 3)
                 .allMatch(event -> event.name().equals("m-3"));
         long healed = now();
         fleet.hub().change(Faults::mend);
@@ -126,11 +147,14 @@
     void aMemberThatStoodStillIsTakenBackAndTakesNobodyForDead() throws Exception {
         long stalled = now();
         fleet.stall(4);
-        assertThat(fleet.held(fleet.running(4), "m-4", State.DEAD, WAIT)).as(fleet.text()).isPositive();
+        assertThat(fleet.held(fleet.running(4), "m-4", State.DEAD, WAIT))
+                .as(fleet.text())
+                .isPositive();
         long resumed = now();
         fleet.resume(4);
         heals(resumed);
-        assertThat(fleet.deaths(stalled)).allMatch(event -> event.name().equals("m-4") && event.seenBy() != 4);
+        assertThat(fleet.deaths(stalled))
+                .allMatch(event -> event.name().equals("m-4") && event.seenBy() != 4);
         assertThat(fleet.view(4).path("stalls").asLong()).isPositive();
     }
 
@@ -143,18 +167,36 @@
         fleet.act("0s loss * * 0");
     }
 
-    /** Another process under a name in use is refused with a line that says so, and the holder keeps its name. */
+    /**
+     * Another process under a name in use is refused with a line that says so, and the holder keeps
+     * its name.
+     */
     @Test
     void anotherProcessUnderANameInUseIsRefused() throws Exception {
         long started = now();
         String life = fleet.view(2).path("life").asText();
         fleet.start(5, "m-2");
-        assertThat(fleet.logged(started, WAIT, event -> event.seenBy() != 5
-                && event.line().path("fleet").asText().equals("name_refused")
-                && event.line().path("known").path("life").asText().equals(life))).as(fleet.text()).isTrue();
+        assertThat(
+                        fleet.logged(
+                                started,
+                                WAIT,
+                                event ->
+                                        event.seenBy() != 5
+                                                && event.line()
+                                                        .path("fleet")
+                                                        .asText()
+                                                        .equals("name_refused")
+                                                && event.line()
+                                                        .path("known")
+                                                        .path("life")
+                                                        .asText()
+                                                        .equals(life)))
+                .as(fleet.text())
+                .isTrue();
         fleet.kill(5);
         fleet.pass(PERIOD.multipliedBy(4));
-        assertThat(fleet.since(started)).filteredOn(event -> event.name().equals("m-2") && event.seenBy() != 5)
+        assertThat(fleet.since(started))
+                .filteredOn(event -> event.name().equals("m-2") && event.seenBy() != 5)
                 .extracting(event -> event.line().path("member").path("life").asText())
                 .allMatch(life::equals);
         assertThat(fleet.deaths(started)).isEmpty();
--- a/src/test/java/cypressglade/fleet/ViewTest.java
+++ b/src/test/java/cypressglade/fleet/ViewTest.java
@@ -32,7 +32,9 @@
         assertThat(first.path("member").path("state").asText()).isEqualTo("alive");
         assertThat(first.path("member").path("address").asText()).isEqualTo("127.0.0.1:1001");
         view.change(member("m-1", 7, State.SUSPECT), Instant.ofEpochSecond(2));
-        view.change(member("m-1", 7, State.ALIVE), Instant.ofEpochSecond(3)); // refuted in time: no flap
+        view.change(
+                member("m-1", 7, State.ALIVE),
+                Instant.ofEpochSecond(3)); // refuted in time: no flap
         view.change(member("m-1", 7, State.DEAD), Instant.ofEpochSecond(4));
         view.change(member("m-1", 8, State.ALIVE), Instant.ofEpochSecond(5));
         MemberNet net = new MemberNet(1, Timing.standard());
@@ -44,19 +46,34 @@
         assertThat(whole.path("members").get(0).path("since_ms").asLong()).isEqualTo(4000);
         assertThat(whole.path("members").get(0).path("life").asText()).isEqualTo("8");
         view.retain(List.of());
-        assertThat(json(view.whole(net.start(0), Instant.ofEpochSecond(9)).toString()).path("members")).isEmpty();
+        assertThat(
+                        json(view.whole(net.start(0), Instant.ofEpochSecond(9)).toString())
+                                .path("members"))
+                .isEmpty();
     }
 
     @Test
     void aRefusedNameIsToldOnce() throws Exception {
-        JsonNode line = json(view.refusal(member("m-1", 7, State.ALIVE), member("m-1", 9, State.ALIVE),
-                Instant.EPOCH));
+        JsonNode line =
+                json(
+                        view.refusal(
+                                member("m-1", 7, State.ALIVE),
+                                member("m-1", 9, State.ALIVE),
+                                Instant.EPOCH));
         assertThat(line.path("fleet").asText()).isEqualTo("name_refused");
         assertThat(line.path("claim").path("life").asText()).isEqualTo("9");
         assertThat(line.path("remedy").asText()).contains("another name");
-        assertThat(view.refusal(member("m-1", 7, State.ALIVE), member("m-1", 9, State.ALIVE), Instant.EPOCH))
+        assertThat(
+                        view.refusal(
+                                member("m-1", 7, State.ALIVE),
+                                member("m-1", 9, State.ALIVE),
+                                Instant.EPOCH))
                 .isEmpty();
-        assertThat(view.refusal(member("m-1", 7, State.ALIVE), member("m-1", 10, State.ALIVE), Instant.EPOCH))
+        assertThat(
+                        view.refusal(
+                                member("m-1", 7, State.ALIVE),
+                                member("m-1", 10, State.ALIVE),
+                                Instant.EPOCH))
                 .isNotEmpty();
     }
 
@@ -64,10 +81,12 @@
     void boundsGrowWithTheLogarithmAndThePeriod() {
         Bounds five = new Bounds(Timing.every(Duration.ofMillis(200)), 5);
         assertThat(five.detect()).isEqualTo(Duration.ofMillis(4000));
-        assertThat(new Bounds(Timing.standard(), 5).detect()).isEqualTo(five.detect().multipliedBy(5));
+        assertThat(new Bounds(Timing.standard(), 5).detect())
+                .isEqualTo(five.detect().multipliedBy(5));
         assertThat(new Bounds(Timing.standard(), 1000).detect()).isEqualTo(Duration.ofSeconds(62));
         assertThat(five.messages(0, 0)).isEqualTo(2);
-        assertThat(five.messages(0.1, 0.05)).isBetween(2.8, 3.5)
+        assertThat(five.messages(0.1, 0.05))
+                .isBetween(2.8, 3.5)
                 .isEqualTo(new Bounds(Timing.standard(), 1000).messages(0.1, 0.05));
         assertThat(five.split(2)).isBetween(five.detect(), five.detect().multipliedBy(2));
     }
--- a/src/test/java/cypressglade/http/ConnectionEndsTest.java
+++ b/src/test/java/cypressglade/http/ConnectionEndsTest.java
@@ -27,16 +27,21 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Connections of clients that end, by them or by us, in the moment in which something else comes on them. */
+/**
+ * Connections of clients that end, by them or by us, in the moment in which something else comes on
+ * them.
+ */
 class ConnectionEndsTest {
     private static final String READ = "/job-read/00000003b4d60021/7f3a9c21e0b4d655";
     private static final String HEADERS = Site.headers(900, "standard", "units=2,shard=0,hosts=1");
 
     private final CountDownLatch answer = new CountDownLatch(1);
-    private final HttpPeer node = new HttpPeer((request, out) -> {
-        assertThat(answer.await(5, TimeUnit.SECONDS)).isTrue();
-        HttpPeer.answer(200, "", "the data").answer(request, out);
-    });
+    private final HttpPeer node =
+            new HttpPeer(
+                    (request, out) -> {
+                        assertThat(answer.await(5, TimeUnit.SECONDS)).isTrue();
+                        HttpPeer.answer(200, "", "the data").answer(request, out);
+                    });
     private Site site;
 
     @BeforeEach
@@ -63,7 +68,10 @@
         return Message.read(new DataInputStream(client.getInputStream()));
     }
 
-    /** Guards against a leave that is not seen behind the next requests, which would begin for nobody. */
+    /**
+     * Guards against a leave that is not seen behind the next requests, which would begin for
+     * nobody.
+     */
     @Test
     void aClientThatSentMoreAndLeftIsNoticedAndNothingElseOfItBegins() throws Exception {
         Socket client = site.connect();
@@ -72,15 +80,21 @@
         put(client, get() + get().substring(0, 40));
         client.close();
         Site.await(() -> site.serve.counters().get(Name.GONE) == 1);
-        assertThat(site.serve.counters().get(Name.ANSWERED_FAILED) + site.serve.counters()
-                .get(Name.ANSWERED_BY_DEADLINE)).as("seen while the first is open, not at its end").isZero();
+        assertThat(
+                        site.serve.counters().get(Name.ANSWERED_FAILED)
+                                + site.serve.counters().get(Name.ANSWERED_BY_DEADLINE))
+                .as("seen while the first is open, not at its end")
+                .isZero();
         answer.countDown();
         assertThat(site.ask(get()).status()).isEqualTo(200); // by then the others would have come
         assertThat(node.requests).hasSize(1);
         assertThat(site.serve.counters().get(Name.TAKEN)).isEqualTo(2);
     }
 
-    /** Guards against a request that is begun though its client's end is here as well, and not read yet. */
+    /**
+     * Guards against a request that is begun though its client's end is here as well, and not read
+     * yet.
+     */
     @Test
     void aRequestWhoseClientHasLeftBeforeItIsReadIsNotTaken() throws Exception {
         CountDownLatch held = new CountDownLatch(1);
@@ -88,19 +102,40 @@
         Counters counters = new Counters();
         NodeDirectory directory = new NodeDirectory();
         Config config = Site.config(Site.entry(0, node.hostPort(), "active", 0), "127.0.0.1:1");
-        try (Loop loop = new Loop(); Engine engine = new Engine(config.settings(), directory, counters);
+        try (Loop loop = new Loop();
+                Engine engine = new Engine(config.settings(), directory, counters);
                 RequestPool pool = new RequestPool(9, 0, counters)) {
-            NodeClient nodes = new NodeClient(new NodePool(loop, directory, counters, config.connectTimeout(),
-                    config.idleLimit(), 9), 1 << 20, List.of());
+            NodeClient nodes =
+                    new NodeClient(
+                            new NodePool(
+                                    loop,
+                                    directory,
+                                    counters,
+                                    config.connectTimeout(),
+                                    config.idleLimit(),
+                                    9),
+                            1 << 20,
+                            List.of());
             engine.start(any -> nodes);
             engine.told(config.known());
-            ClientListener clients = new ClientListener(loop, config.settings(), engine, counters, pool, nodes,
-                    () -> waits(held, go), config.budget(), Optional.empty());
+            ClientListener clients =
+                    new ClientListener(
+                            loop,
+                            config.settings(),
+                            engine,
+                            counters,
+                            pool,
+                            nodes,
+                            () -> waits(held, go),
+                            config.budget(),
+                            Optional.empty());
             clients.start(new InetSocketAddress("127.0.0.1", 0));
-            try (Socket health = new Socket(clients.address().getAddress(), clients.address().getPort())) {
+            try (Socket health =
+                    new Socket(clients.address().getAddress(), clients.address().getPort())) {
                 put(health, Site.request("GET", "/healthz", "", ""));
                 assertThat(held.await(5, TimeUnit.SECONDS)).as("the I/O thread is held").isTrue();
-                try (Socket client = new Socket(clients.address().getAddress(), clients.address().getPort())) {
+                try (Socket client =
+                        new Socket(clients.address().getAddress(), clients.address().getPort())) {
                     put(client, get());
                 }
                 go.countDown();
@@ -120,7 +155,10 @@
         }
     }
 
-    /** Guards against a reset by a close over unread bytes, which would take an answer on its way with it. */
+    /**
+     * Guards against a reset by a close over unread bytes, which would take an answer on its way
+     * with it.
+     */
     @Test
     void whatCrossesTheCloseOfARestingConnectionIsReadAndNotResetNorSentOn() throws Exception {
         answer.countDown();
@@ -130,7 +168,9 @@
             assertThat(client.getInputStream().read()).as("the end of our side").isEqualTo(-1);
             put(client, get());
             put(client, get());
-            assertThat(client.getInputStream().read()).as("still the end, and no reset").isEqualTo(-1);
+            assertThat(client.getInputStream().read())
+                    .as("still the end, and no reset")
+                    .isEqualTo(-1);
             client.shutdownOutput();
             stopping.get(5, TimeUnit.SECONDS);
             assertThat(site.serve.connected()).isZero();
@@ -138,11 +178,14 @@
         assertThat(node.requests).hasSize(1);
     }
 
-    /** Guards against a request being cut off whose first half was read before the scheduler stops. */
+    /**
+     * Guards against a request being cut off whose first half was read before the scheduler stops.
+     */
     @Test
     void aRequestThatIsHalfHereWhenOthersAreClosedIsAnswered() throws Exception {
         answer.countDown();
-        try (Socket slow = site.connect(); Socket resting = site.connect()) {
+        try (Socket slow = site.connect();
+                Socket resting = site.connect()) {
             assertThat(ask(slow, get()).status()).isEqualTo(200);
             assertThat(ask(resting, get()).status()).isEqualTo(200);
             String next = get();
--- a/src/test/java/cypressglade/http/EvacuateTest.java
+++ b/src/test/java/cypressglade/http/EvacuateTest.java
@@ -5,6 +5,7 @@
 
 import cypressglade.cli.OperatorFiles;
 import cypressglade.config.ConfigException;
+import cypressglade.standin.DoorCall;
 import cypressglade.standin.HttpPeer;
 import cypressglade.standin.HttpPeer.Message;
 import cypressglade.standin.Site;
@@ -15,10 +16,12 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
-import cypressglade.standin.DoorCall;
 import org.junit.jupiter.api.Test;
 
-/** Evacuation by the operators' door: the health says no, open connections are served and then let go. */
+/**
+ * Evacuation by the operators' door: the health says no, open connections are served and then let
+ * go.
+ */
 class EvacuateTest {
     private static final String READ = "/job-read/00000003b4d60021/7f3a9c21e0b4d655";
     private static final String HEADERS = Site.headers(900, "standard", "units=2,shard=0,hosts=1");
@@ -28,13 +31,17 @@
 
     @BeforeEach
     void start() throws Exception {
-        site = new Site(Site.entry(0, node.hostPort(), "active", 0), OperatorFiles.NONE, config -> {
-            try {
-                return config.operatorFrom("127.0.0.1:0");
-            } catch (ConfigException bad) {
-                throw new IllegalStateException(bad);
-            }
-        });
+        site =
+                new Site(
+                        Site.entry(0, node.hostPort(), "active", 0),
+                        OperatorFiles.NONE,
+                        config -> {
+                            try {
+                                return config.operatorFrom("127.0.0.1:0");
+                            } catch (ConfigException bad) {
+                                throw new IllegalStateException(bad);
+                            }
+                        });
     }
 
     @AfterEach
@@ -57,16 +64,27 @@
 
     @Test
     void healthSaysNoWhileOpenConnectionsAreServedAndNoneIsHeldIdle() throws Exception {
-        try (Socket kept = site.connect(); Socket idle = site.connect()) {
+        try (Socket kept = site.connect();
+                Socket idle = site.connect()) {
             DataInputStream in = new DataInputStream(kept.getInputStream());
-            kept.getOutputStream().write(Site.request("GET", READ, HEADERS, "").getBytes(StandardCharsets.US_ASCII));
+            kept.getOutputStream()
+                    .write(
+                            Site.request("GET", READ, HEADERS, "")
+                                    .getBytes(StandardCharsets.US_ASCII));
             assertThat(Message.read(in).status()).isEqualTo(200);
-            idle.getOutputStream().write(Site.request("GET", READ, HEADERS, "").getBytes(StandardCharsets.US_ASCII));
-            assertThat(Message.read(new DataInputStream(idle.getInputStream())).status()).isEqualTo(200);
+            idle.getOutputStream()
+                    .write(
+                            Site.request("GET", READ, HEADERS, "")
+                                    .getBytes(StandardCharsets.US_ASCII));
+            assertThat(Message.read(new DataInputStream(idle.getInputStream())).status())
+                    .isEqualTo(200);
 
             assertThat(call("evacuate")).startsWith("200 ");
             assertThat(health()).isEqualTo(503);
-            kept.getOutputStream().write(Site.request("GET", READ, HEADERS, "").getBytes(StandardCharsets.US_ASCII));
+            kept.getOutputStream()
+                    .write(
+                            Site.request("GET", READ, HEADERS, "")
+                                    .getBytes(StandardCharsets.US_ASCII));
             Message served = Message.read(in);
             assertThat(served.status()).as("an open connection is still served").isEqualTo(200);
             assertThat(in.read()).as("and then let go").isEqualTo(-1);
--- a/src/test/java/cypressglade/http/LoadReportTest.java
+++ b/src/test/java/cypressglade/http/LoadReportTest.java
@@ -8,12 +8,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What answers tell beside themselves, read as the module's figures; what cannot be read tells nothing. */
+/**
+ * What answers tell beside themselves, read as the module's figures; what cannot be read tells
+ * nothing.
+ */
 class LoadReportTest {
     private static final List<String> NAMES = List.of("queue", "latency_ms");
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', textBlock = """
+    @CsvSource(
+            delimiter = '|',
+            textBlock =
+                    """
             37    | 12.6 | 38 | 13
             0     | ''   | 1  | 0
             ''    | 4    | 0  | 4
@@ -31,12 +37,18 @@
 
     @Test
     void loadIsTakenByTheNamesOfTheSettingsInTheirOrder() {
-        assertThat(new LoadReport("", "", "TEXT latency_ms=41.5, inflight=7, queue=2").told(NAMES).load())
+        assertThat(
+                        new LoadReport("", "", "TEXT latency_ms=41.5, inflight=7, queue=2")
+                                .told(NAMES)
+                                .load())
                 .containsExactly(2f, 41.5f);
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', textBlock = """
+    @CsvSource(
+            delimiter = '|',
+            textBlock =
+                    """
             TEXT queue=2
             TEXT queue=2, latency_ms=x
             queue=2, latency_ms=4
@@ -49,7 +61,10 @@
 
     @Test
     void namesAreTakenWhateverTheirCase() {
-        assertThat(new LoadReport("", "", "text Queue=2, LATENCY_MS=4").told(List.of("queue", "Latency_ms")).load())
+        assertThat(
+                        new LoadReport("", "", "text Queue=2, LATENCY_MS=4")
+                                .told(List.of("queue", "Latency_ms"))
+                                .load())
                 .containsExactly(2f, 4f);
     }
 
--- a/src/test/java/cypressglade/http/NodeClientTest.java
+++ b/src/test/java/cypressglade/http/NodeClientTest.java
@@ -24,22 +24,54 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a node's answer tells beside itself reaches the module, as the simulator's wire would tell it. */
+/**
+ * What a node's answer tells beside itself reaches the module, as the simulator's wire would tell
+ * it.
+ */
 class NodeClientTest {
-    private static final String TOLD = "Volume-Load: 240\r\nOther-Hosts: 6\r\n"
-            + "Endpoint-Load-Metrics: TEXT queue=3, latency_ms=52.5\r\n";
+    private static final String TOLD =
+            "Volume-Load: 240\r\nOther-Hosts: 6\r\n"
+                    + "Endpoint-Load-Metrics: TEXT queue=3, latency_ms=52.5\r\n";
 
     private static Ending exchange(HttpPeer.Script script) throws Exception {
         NodeDirectory directory = new NodeDirectory();
-        try (HttpPeer node = new HttpPeer(script); Loop loop = new Loop()) {
-            directory.update(new NodeList(1, true, List.of(new NodeList.Entry("s-0", node.address(), 0, 0, 0,
-                    State.READY, 1, Instant.EPOCH))));
-            NodePool pool = new NodePool(loop, directory, new Counters(), Duration.ofMillis(250),
-                    Duration.ofSeconds(5), 4);
+        try (HttpPeer node = new HttpPeer(script);
+                Loop loop = new Loop()) {
+            directory.update(
+                    new NodeList(
+                            1,
+                            true,
+                            List.of(
+                                    new NodeList.Entry(
+                                            "s-0",
+                                            node.address(),
+                                            0,
+                                            0,
+                                            0,
+                                            State.READY,
+                                            1,
+                                            Instant.EPOCH))));
+            NodePool pool =
+                    new NodePool(
+                            loop,
+                            directory,
+                            new Counters(),
+                            Duration.ofMillis(250),
+                            Duration.ofSeconds(5),
+                            4);
             NodeClient client = new NodeClient(pool, 1 << 20, List.of("queue", "latency_ms"));
             CompletableFuture<Ending> ended = new CompletableFuture<>();
-            client.send(1, new HttpWork("GET", "/ledger-read/00000003b4d60021/7f3a9c21e0b4d655", "t-1",
-                    Optional.empty(), new byte[0]), Time.now().plusSeconds(5), () -> true, ended::complete);
+            client.send(
+                    1,
+                    new HttpWork(
+                            "GET",
+                            "/ledger-read/00000003b4d60021/7f3a9c21e0b4d655",
+                            "t-1",
+                            Optional.empty(),
+                            new byte[0]),
+                    Time.now().plusSeconds(5),
+                    () -> true,
+                    ended::complete);
             return ended.get(5, TimeUnit.SECONDS);
         }
     }
@@ -48,7 +80,8 @@
     void aServedAnswerTellsUseUnitsByOthersAndLoad() throws Exception {
         Ending ending = exchange(HttpPeer.answer(200, TOLD, "entry"));
         assertThat(ending.status()).isEqualTo(Status.OK);
-        assertThat(new String(ending.answer(), java.nio.charset.StandardCharsets.US_ASCII)).isEqualTo("entry");
+        assertThat(new String(ending.answer(), java.nio.charset.StandardCharsets.US_ASCII))
+                .isEqualTo("entry");
         assertThat(ending.told().used()).isEqualTo(241);
         assertThat(ending.told().byOthers()).isEqualTo(6);
         assertThat(ending.told().load()).containsExactly(3f, 52.5f);
@@ -64,10 +97,16 @@
 
     @Test
     void anAnswerCutShortTellsNothing() throws Exception {
-        Ending ending = exchange((request, out) -> {
-            HttpPeer.write(out, "HTTP/1.1 200 OK\r\n" + TOLD + "Content-Length: 10\r\n\r\nhalf");
-            throw new IOException("cut");
-        });
+        Ending ending =
+                exchange(
+                        (request, out) -> {
+                            HttpPeer.write(
+                                    out,
+                                    "HTTP/1.1 200 OK\r\n"
+                                            + TOLD
+                                            + "Content-Length: 10\r\n\r\nhalf");
+                            throw new IOException("cut");
+                        });
         assertThat(ending.status()).isNotEqualTo(Status.OK);
         assertThat(ending.told().used()).isZero();
         assertThat(ending.told().load()).isEmpty();
@@ -77,10 +116,14 @@
     @ParameterizedTest
     @CsvSource({"false,OK", "true,RESET"})
     void onlyAnOrderlyEndEndsAnAnswerWithoutALength(boolean reset, Status status) throws Exception {
-        Ending ending = exchange((request, out) -> {
-            HttpPeer.write(out, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf of the entry");
-            throw reset ? new StandIn.Reset() : new IOException("the end");
-        });
+        Ending ending =
+                exchange(
+                        (request, out) -> {
+                            HttpPeer.write(
+                                    out,
+                                    "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf of the entry");
+                            throw reset ? new StandIn.Reset() : new IOException("the end");
+                        });
         assertThat(ending.status()).isEqualTo(status);
     }
 }
--- a/src/test/java/cypressglade/http/PassOnTest.java
+++ b/src/test/java/cypressglade/http/PassOnTest.java
@@ -24,32 +24,47 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Requests reach the node as their client sent them, first attempt and resend alike: a node that checks every
- * request against what its client wrote, by trace id, and turns each first attempt away unrun.
+ * Requests reach the node as their client sent them, first attempt and resend alike: a node that
+ * checks every request against what its client wrote, by trace id, and turns each first attempt
+ * away unrun.
  */
 class PassOnTest {
-    /** The second deployment's kind of class: writes with a key, whose repeats one cell drops for 3 s. */
-    private static final UnaryOperator<String> KEYED = text -> text
-            .replace("\"deadlineUs\":700000,\"worth\":2.0,\"lateWorth\":0.1}", "\"deadlineUs\":700000,\"worth\":2.0,"
-                    + "\"lateWorth\":0.1},\n   {\"name\":\"entry-write\",\"effect\":\"idempotency_key\","
-                    + "\"dedupScope\":\"cell\",\"keyTtlUs\":3000000,\"objectiveUs\":500000,\"deadlineUs\":900000,"
-                    + "\"worth\":2.0,\"lateWorth\":0.2}")
-            .replace("\"changesData\":[false,true]", "\"changesData\":[false,true,true]");
+    /**
+     * The second deployment's kind of class: writes with a key, whose repeats one cell drops for 3
+     * s.
+     */
+    private static final UnaryOperator<String> KEYED =
+            text ->
+                    text.replace(
+                                    "\"deadlineUs\":700000,\"worth\":2.0,\"lateWorth\":0.1}",
+                                    "\"deadlineUs\":700000,\"worth\":2.0,"
+                                            + "\"lateWorth\":0.1},\n   {\"name\":\"entry-write\",\"effect\":\"idempotency_key\","
+                                            + "\"dedupScope\":\"cell\",\"keyTtlUs\":3000000,\"objectiveUs\":500000,\"deadlineUs\":900000,"
+                                            + "\"worth\":2.0,\"lateWorth\":0.2}")
+                            .replace(
+                                    "\"changesData\":[false,true]",
+                                    "\"changesData\":[false,true,true]");
+
     private static final String VOLUME = "/00000003b4d60021/";
 
     /** What a client wrote, by trace id. */
     private final Map<String, Sent> sent = new ConcurrentHashMap<>();
+
     private final Map<String, AtomicInteger> arrivals = new ConcurrentHashMap<>();
     private final List<String> wrong = new ArrayList<>();
     private final HttpPeer node = new HttpPeer(this::check);
     private Site site;
 
-    private record Sent(String method, String target, Optional<String> key, String body) { }
+    private record Sent(String method, String target, Optional<String> key, String body) {}
 
     @BeforeEach
     void start() throws Exception {
-        site = new Site(Site.entry(0, node.hostPort(), "active", 0), OperatorFiles.NONE, UnaryOperator.identity(),
-                KEYED);
+        site =
+                new Site(
+                        Site.entry(0, node.hostPort(), "active", 0),
+                        OperatorFiles.NONE,
+                        UnaryOperator.identity(),
+                        KEYED);
     }
 
     @AfterEach
@@ -64,9 +79,11 @@
         String[] first = request.first().split(" ");
         if (client == null) {
             wrong.add("no client sent " + id);
-        } else if (!first[0].equals(client.method()) || !first[1].equals(client.target())
+        } else if (!first[0].equals(client.method())
+                || !first[1].equals(client.target())
                 || !request.body().equals(client.body())
-                || !Optional.ofNullable(request.headers().get("idempotency-key")).equals(client.key())) {
+                || !Optional.ofNullable(request.headers().get("idempotency-key"))
+                        .equals(client.key())) {
             wrong.add(id + " came as " + request + ", sent as " + client);
         }
         if (arrivals.computeIfAbsent(id, any -> new AtomicInteger()).incrementAndGet() == 1) {
@@ -76,17 +93,38 @@
         }
     }
 
-    /** Sends a request as a client would, with a body by length or in chunks; the answer's status. */
-    private int send(String id, String method, String target, Optional<String> key, String body, boolean chunked)
+    /**
+     * Sends a request as a client would, with a body by length or in chunks; the answer's status.
+     */
+    private int send(
+            String id,
+            String method,
+            String target,
+            Optional<String> key,
+            String body,
+            boolean chunked)
             throws IOException {
         sent.put(id, new Sent(method, target, key, body));
-        StringBuilder head = new StringBuilder(method + " " + target + " HTTP/1.1\r\nHost: x\r\n")
-                .append(Site.headers(900, "standard", "units=2,shard=0,hosts=3").replace("(new)", id));
+        StringBuilder head =
+                new StringBuilder(method + " " + target + " HTTP/1.1\r\nHost: x\r\n")
+                        .append(
+                                Site.headers(900, "standard", "units=2,shard=0,hosts=3")
+                                        .replace("(new)", id));
         key.ifPresent(given -> head.append("Idempotency-Key: ").append(given).append("\r\n"));
-        String framed = body.isEmpty() && method.equals("GET") ? ""
-                : chunked ? Integer.toHexString(body.length()) + "\r\n" + body + "\r\n0\r\n\r\n" : body;
+        String framed =
+                body.isEmpty() && method.equals("GET")
+                        ? ""
+                        : chunked
+                                ? Integer.toHexString(body.length())
+                                        + "\r\n"
+                                        + body
+                                        + "\r\n0\r\n\r\n"
+                                : body;
         if (!framed.isEmpty() || method.equals("PUT")) {
-            head.append(chunked ? "Transfer-Encoding: chunked\r\n" : "Content-Length: " + body.length() + "\r\n");
+            head.append(
+                    chunked
+                            ? "Transfer-Encoding: chunked\r\n"
+                            : "Content-Length: " + body.length() + "\r\n");
         }
         try (Socket socket = site.connect()) {
             OutputStream out = socket.getOutputStream();
@@ -102,15 +140,46 @@
     @Test
     void keysQueriesAndBodiesReachTheNodeUnchangedOnEveryAttempt() throws Exception {
         List<Integer> statuses = new ArrayList<>();
-        statuses.add(send("a1", "PUT", "/entry-write" + VOLUME + "7f3a9c21e0b4d655", Optional.of("k-7f3a-0001"),
-                "{\"debit\":12.50}", false));
-        statuses.add(send("a2", "PUT", "/entry-write" + VOLUME + "7f3a9c21e0b4d656?batch=7&x=%20y",
-                Optional.of("0c6f2e9a-55d1-4b7e-9f0e-1b2c3d4e5f60"), "line one\r\nline two", true));
-        statuses.add(send("a3", "GET", "/job-read" + VOLUME + "7f3a9c21e0b4d657?v=2", Optional.empty(), "", false));
-        statuses.add(send("a4", "PUT", "/job-write" + VOLUME + "7f3a9c21e0b4d658", Optional.empty(), "unkeyed",
-                false));
-        statuses.add(send("a5", "GET", "/job-read" + VOLUME + "7f3a9c21e0b4d659", Optional.of("k-read-1"), "",
-                false));
+        statuses.add(
+                send(
+                        "a1",
+                        "PUT",
+                        "/entry-write" + VOLUME + "7f3a9c21e0b4d655",
+                        Optional.of("k-7f3a-0001"),
+                        "{\"debit\":12.50}",
+                        false));
+        statuses.add(
+                send(
+                        "a2",
+                        "PUT",
+                        "/entry-write" + VOLUME + "7f3a9c21e0b4d656?batch=7&x=%20y",
+                        Optional.of("0c6f2e9a-55d1-4b7e-9f0e-1b2c3d4e5f60"),
+                        "line one\r\nline two",
+                        true));
+        statuses.add(
+                send(
+                        "a3",
+                        "GET",
+                        "/job-read" + VOLUME + "7f3a9c21e0b4d657?v=2",
+                        Optional.empty(),
+                        "",
+                        false));
+        statuses.add(
+                send(
+                        "a4",
+                        "PUT",
+                        "/job-write" + VOLUME + "7f3a9c21e0b4d658",
+                        Optional.empty(),
+                        "unkeyed",
+                        false));
+        statuses.add(
+                send(
+                        "a5",
+                        "GET",
+                        "/job-read" + VOLUME + "7f3a9c21e0b4d659",
+                        Optional.of("k-read-1"),
+                        "",
+                        false));
         assertThat(wrong).isEmpty();
         assertThat(statuses).containsOnly(200);
         assertThat(arrivals).allSatisfy((id, count) -> assertThat(count).hasValue(2));
@@ -119,9 +188,13 @@
 
     @Test
     void aRequestWithTwoKeysIsNeverPassedOn() throws Exception {
-        String request = Site.request("PUT", "/entry-write" + VOLUME + "7f3a9c21e0b4d655",
-                Site.headers(900, "standard", "units=2,shard=0,hosts=1")
-                        + "Idempotency-Key: k-1\r\nIdempotency-Key: k-2\r\n", "x");
+        String request =
+                Site.request(
+                        "PUT",
+                        "/entry-write" + VOLUME + "7f3a9c21e0b4d655",
+                        Site.headers(900, "standard", "units=2,shard=0,hosts=1")
+                                + "Idempotency-Key: k-1\r\nIdempotency-Key: k-2\r\n",
+                        "x");
         assertThat(site.ask(request).status()).isEqualTo(400);
         assertThat(site.serve.counters().get(Name.TAKEN)).isZero();
         assertThat(node.requests).isEmpty();
--- a/src/test/java/cypressglade/http/RequestParserTest.java
+++ b/src/test/java/cypressglade/http/RequestParserTest.java
@@ -14,16 +14,32 @@
 
 /** How much of a client's time the core may use. */
 class RequestParserTest {
-    /** Guards against a margin that leaves clients of little patience no time, and against endless patience. */
+    /**
+     * Guards against a margin that leaves clients of little patience no time, and against endless
+     * patience.
+     */
     @ParameterizedTest
     @CsvSource({"900, 870", "240, 210", "64, 56", "8, 7", "0, 0", "3600000, 970"})
     void marginIsASmallPartOfTheTime(String told, long used) throws Exception {
-        HeaderMap headers = new HeaderMap().put(new HttpString("Tier"), "standard")
-                .put(RequestParser.TRACE_ID, "1").put(new HttpString("X-Expires-In-Ms"), told)
-                .put(new HttpString("IO-Info"), "units=1,shard=0,hosts=1");
+        HeaderMap headers =
+                new HeaderMap()
+                        .put(new HttpString("Tier"), "standard")
+                        .put(RequestParser.TRACE_ID, "1")
+                        .put(new HttpString("X-Expires-In-Ms"), told)
+                        .put(new HttpString("IO-Info"), "units=1,shard=0,hosts=1");
         Instant now = Time.now();
-        assertThat(Duration.between(now, new RequestParser(Config.read(Path.of("deploy/config.example.json"))
-                .settings()).parse("GET", "/job-read/0000000000000001/0000000000000002", headers, now).expiry()))
+        assertThat(
+                        Duration.between(
+                                now,
+                                new RequestParser(
+                                                Config.read(Path.of("deploy/config.example.json"))
+                                                        .settings())
+                                        .parse(
+                                                "GET",
+                                                "/job-read/0000000000000001/0000000000000002",
+                                                headers,
+                                                now)
+                                        .expiry()))
                 .isEqualTo(Duration.ofMillis(used));
     }
 }
--- a/src/test/java/cypressglade/http/RetuneTest.java
+++ b/src/test/java/cypressglade/http/RetuneTest.java
@@ -23,23 +23,33 @@
     @Test
     void anOpenRequestOfADroppedClassIsServedAndANewClassIsTaken() throws Exception {
         CountDownLatch retuned = new CountDownLatch(1);
-        try (HttpPeer node = new HttpPeer((request, out) -> {
-            if (request.first().contains("/job-read/")) {
-                assertThat(retuned.await(5, TimeUnit.SECONDS)).isTrue();
-            }
-            HttpPeer.answer(200, "", "the data").answer(request, out);
-        }); Site site = new Site(List.of(node.hostPort()), OperatorFiles.NONE); Socket open = site.connect()) {
-            open.getOutputStream().write(Site.request("GET", "/job-read" + PLACE, HEADERS, "").getBytes(
-                    StandardCharsets.US_ASCII));
+        try (HttpPeer node =
+                        new HttpPeer(
+                                (request, out) -> {
+                                    if (request.first().contains("/job-read/")) {
+                                        assertThat(retuned.await(5, TimeUnit.SECONDS)).isTrue();
+                                    }
+                                    HttpPeer.answer(200, "", "the data").answer(request, out);
+                                });
+                Site site = new Site(List.of(node.hostPort()), OperatorFiles.NONE);
+                Socket open = site.connect()) {
+            open.getOutputStream()
+                    .write(
+                            Site.request("GET", "/job-read" + PLACE, HEADERS, "")
+                                    .getBytes(StandardCharsets.US_ASCII));
             assertThat(node.requests.poll(5, TimeUnit.SECONDS)).isNotNull();
-            Config next = Site.config(Site.entry(0, node.hostPort(), "active", 0), site.discovery.hostPort(),
-                    text -> text.replace("\"job-read\"", "\"job-look\""));
+            Config next =
+                    Site.config(
+                            Site.entry(0, node.hostPort(), "active", 0),
+                            site.discovery.hostPort(),
+                            text -> text.replace("\"job-read\"", "\"job-look\""));
             next.checkAfter(site.config);
             site.serve.use(next, OperatorFiles.NONE);
             assertThat(ask(site, "/job-look")).as("the new class").isEqualTo(200);
             assertThat(ask(site, "/job-read")).as("the class that was dropped").isEqualTo(404);
             retuned.countDown();
-            assertThat(Message.read(new DataInputStream(open.getInputStream())).status()).isEqualTo(200);
+            assertThat(Message.read(new DataInputStream(open.getInputStream())).status())
+                    .isEqualTo(200);
         }
     }
 
--- a/src/test/java/cypressglade/http/ServeTest.java
+++ b/src/test/java/cypressglade/http/ServeTest.java
@@ -64,7 +64,13 @@
     @Test
     void methodPathQueryBodyAndIdPassOnUnchanged() throws Exception {
         String body = "a".repeat(60_000) + "\u00e9\r\n";
-        Message answer = site.ask(Site.request("PUT", WRITE + "?a=%20b", HEADERS.replace("(new)", "9b1f-03"), body));
+        Message answer =
+                site.ask(
+                        Site.request(
+                                "PUT",
+                                WRITE + "?a=%20b",
+                                HEADERS.replace("(new)", "9b1f-03"),
+                                body));
         assertThat(answer.status()).isEqualTo(200);
         assertThat(answer.body()).isEqualTo("the data");
         Message sent = next();
@@ -74,19 +80,29 @@
         assertThat(Integer.parseInt(sent.headers().get("x-expires-in-ms"))).isBetween(1, 900);
     }
 
-    /** Guards against the framework ending an exchange with an empty 200 when its body came after the head. */
+    /**
+     * Guards against the framework ending an exchange with an empty 200 when its body came after
+     * the head.
+     */
     @ParameterizedTest
     @CsvSource({"false,false", "true,false", "false,true", "true,true"})
-    void aBodyThatComesLaterGetsTheNodesAnswerAndNoOther(boolean expect, boolean chunked) throws Exception {
+    void aBodyThatComesLaterGetsTheNodesAnswerAndNoOther(boolean expect, boolean chunked)
+            throws Exception {
         CountDownLatch sent = new CountDownLatch(1);
-        node.script((request, out) -> {
-            sent.await(5, TimeUnit.SECONDS);
-            answer(200, "", "the data").answer(request, out);
-        });
+        node.script(
+                (request, out) -> {
+                    sent.await(5, TimeUnit.SECONDS);
+                    answer(200, "", "the data").answer(request, out);
+                });
         String body = "p".repeat(3000);
-        String head = "PUT " + WRITE + " HTTP/1.1\r\nHost: x\r\n" + HEADERS.replace("(new)", "9b1f-77")
-                + (chunked ? "Transfer-Encoding: chunked\r\n" : "Content-Length: 3000\r\n")
-                + (expect ? "Expect: 100-continue\r\n" : "") + "\r\n";
+        String head =
+                "PUT "
+                        + WRITE
+                        + " HTTP/1.1\r\nHost: x\r\n"
+                        + HEADERS.replace("(new)", "9b1f-77")
+                        + (chunked ? "Transfer-Encoding: chunked\r\n" : "Content-Length: 3000\r\n")
+                        + (expect ? "Expect: 100-continue\r\n" : "")
+                        + "\r\n";
         try (Socket client = site.connect()) {
             DataInputStream in = new DataInputStream(client.getInputStream());
             put(client, head);
@@ -106,16 +122,21 @@
         }
     }
 
-    /** Guards against what is read of the second request while the first is open going before what is held of it. */
+    /**
+     * Guards against what is read of the second request while the first is open going before what
+     * is held of it.
+     */
     @Test
     void theSecondOfTwoPipelinedBodiesArrivesWhole() throws Exception {
         CountDownLatch rest = new CountDownLatch(1);
-        node.script((request, out) -> {
-            rest.await(5, TimeUnit.SECONDS);
-            answer(200, "", request.body().substring(0, 1)).answer(request, out);
-        });
-        String two = Site.request("PUT", WRITE, HEADERS, "1".repeat(3000))
-                + Site.request("PUT", WRITE, HEADERS, "2".repeat(9000));
+        node.script(
+                (request, out) -> {
+                    rest.await(5, TimeUnit.SECONDS);
+                    answer(200, "", request.body().substring(0, 1)).answer(request, out);
+                });
+        String two =
+                Site.request("PUT", WRITE, HEADERS, "1".repeat(3000))
+                        + Site.request("PUT", WRITE, HEADERS, "2".repeat(9000));
         try (Socket client = site.connect()) {
             put(client, two.substring(0, 7000));
             assertThat(next().body()).isEqualTo("1".repeat(3000));
@@ -142,10 +163,11 @@
     @Test
     void whatNeverRanIsSentAgainWithinTheAttempts() throws Exception {
         HttpPeer.Script served = answer(200, "", "second");
-        node.script((request, out) -> {
-            node.script(served);
-            answer(503, "X-Never-Ran: 1\r\n", "").answer(request, out);
-        });
+        node.script(
+                (request, out) -> {
+                    node.script(served);
+                    answer(503, "X-Never-Ran: 1\r\n", "").answer(request, out);
+                });
         assertThat(write().body()).isEqualTo("second");
         assertThat(site.serve.counters().get(Name.ENDED_FULL)).isEqualTo(1);
         assertThat(site.serve.counters().get(Name.SENT)).isEqualTo(2);
@@ -153,9 +175,10 @@
 
     @Test
     void writeThatMayHaveRunIsNeverSentAgain() throws Exception {
-        node.script((request, out) -> {
-            throw new IOException("reset after the last byte");
-        });
+        node.script(
+                (request, out) -> {
+                    throw new IOException("reset after the last byte");
+                });
         assertThat(write().status()).isEqualTo(502);
         assertThat(site.serve.counters().get(Name.ENDED_RESET)).isEqualTo(1);
         assertThat(site.serve.counters().get(Name.SENT)).isEqualTo(1);
@@ -163,23 +186,25 @@
 
     @Test
     void answerCutShortByTheNodeIsNotServed() throws Exception {
-        node.script((request, out) -> {
-            HttpPeer.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
-            throw new IOException("cut");
-        });
+        node.script(
+                (request, out) -> {
+                    HttpPeer.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+                    throw new IOException("cut");
+                });
         assertThat(write().status()).isEqualTo(502);
     }
 
     @Test
     void hangingNodeGivesOneAnswerBeforeTheTimeIsUp() throws Exception {
-        node.script((request, out) -> { });
+        node.script((request, out) -> {});
         Instant sent = Instant.now();
         String headers = Site.headers(400, "standard", "units=2,shard=0,hosts=1");
         Message answer = site.ask(Site.request("PUT", WRITE, headers, "x"));
         assertThat(answer.status()).isEqualTo(502);
         // A busy machine may see the answer later than it came; the node was told the time itself.
         assertThat(Duration.between(sent, Instant.now())).isLessThan(Duration.ofSeconds(2));
-        assertThat(Integer.parseInt(next().headers().get("x-expires-in-ms"))).isLessThanOrEqualTo(370);
+        assertThat(Integer.parseInt(next().headers().get("x-expires-in-ms")))
+                .isLessThanOrEqualTo(370);
         assertThat(node.requests).isEmpty();
     }
 
@@ -203,16 +228,21 @@
     @Test
     void watchGoesOnWithTheLastVersionAndIdsOutliveAddresses() throws Exception {
         try (HttpPeer moved = new HttpPeer(answer(200, "", "moved"))) {
-            assertThat(site.discovery.requests.poll(5, TimeUnit.SECONDS).first()).contains("index=41");
+            assertThat(site.discovery.requests.poll(5, TimeUnit.SECONDS).first())
+                    .contains("index=41");
             site.tell(42, 0, moved.hostPort(), "active");
             site.endWatch();
-            assertThat(site.discovery.requests.poll(5, TimeUnit.SECONDS).first()).contains("index=42");
+            assertThat(site.discovery.requests.poll(5, TimeUnit.SECONDS).first())
+                    .contains("index=42");
             assertThat(read().body()).isEqualTo("moved");
         }
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', textBlock = """
+    @CsvSource(
+            delimiter = '|',
+            textBlock =
+                    """
             GET | /job-read/0000000000000001/zz | units=2,shard=0,hosts=1 | standard | 400
             GET | /job-read/0000000000000001/0000000000000002 | units=2,shard=0,hosts=1 | gold | 400
             GET | /job-read/0000000000000001/0000000000000002 | units=x,shard=0,hosts=1 | standard | 400
@@ -221,8 +251,8 @@
             GET | / | units=2,shard=0,hosts=1 | standard | 404
             POST | /job-read/0000000000000001/0000000000000002 | units=2,shard=0,hosts=1 | standard | 405
             """)
-    void whatIsMalformedIsNeverSentOn(String method, String path, String info, String tier, int status)
-            throws Exception {
+    void whatIsMalformedIsNeverSentOn(
+            String method, String path, String info, String tier, int status) throws Exception {
         assertThat(site.ask(Site.request(method, path, Site.headers(900, tier, info), "")).status())
                 .isEqualTo(status);
         assertThat(site.serve.counters().get(Name.TAKEN)).isZero();
@@ -234,21 +264,30 @@
         assertThat(site.ask("garbage\r\n\r\n").status()).isEqualTo(400);
         String head = "PUT " + WRITE + " HTTP/1.1\r\nHost: x\r\n" + HEADERS;
         assertThat(site.ask(head + "Content-Length: 65537\r\n\r\n").status()).isEqualTo(413);
-        assertThat(site.ask(head + "Transfer-Encoding: chunked\r\n\r\n10001\r\n" + "x".repeat(65537)
-                + "\r\n0\r\n\r\n").status()).isEqualTo(413);
+        assertThat(
+                        site.ask(
+                                        head
+                                                + "Transfer-Encoding: chunked\r\n\r\n10001\r\n"
+                                                + "x".repeat(65537)
+                                                + "\r\n0\r\n\r\n")
+                                .status())
+                .isEqualTo(413);
         assertThat(node.requests).isEmpty();
     }
 
     @Test
     void moduleHearsOfAClientThatIsGone() throws Exception {
         CountDownLatch gone = new CountDownLatch(1);
-        node.script((request, out) -> {
-            gone.await();
-            answer(200, "", "late").answer(request, out);
-        });
+        node.script(
+                (request, out) -> {
+                    gone.await();
+                    answer(200, "", "late").answer(request, out);
+                });
         try (Socket client = site.connect()) {
-            client.getOutputStream().write(Site.request("GET", READ, HEADERS, "")
-                    .getBytes(StandardCharsets.ISO_8859_1));
+            client.getOutputStream()
+                    .write(
+                            Site.request("GET", READ, HEADERS, "")
+                                    .getBytes(StandardCharsets.ISO_8859_1));
             next();
         }
         Site.await(() -> site.serve.counters().get(Name.GONE) == 1);
@@ -263,33 +302,40 @@
     void stopAnswersWhatWasTakenAndTurnsHealthAround() throws Exception {
         assertThat(site.ask(Site.request("GET", "/healthz", "", "")).status()).isEqualTo(200);
         CountDownLatch stopping = new CountDownLatch(1);
-        node.script((request, out) -> {
-            stopping.await();
-            answer(200, "", "in time").answer(request, out);
-        });
-        CompletableFuture<Message> taken = CompletableFuture.supplyAsync(() -> {
-            try {
-                return read();
-            } catch (IOException failed) {
-                throw new java.io.UncheckedIOException(failed);
-            }
-        });
+        node.script(
+                (request, out) -> {
+                    stopping.await();
+                    answer(200, "", "in time").answer(request, out);
+                });
+        CompletableFuture<Message> taken =
+                CompletableFuture.supplyAsync(
+                        () -> {
+                            try {
+                                return read();
+                            } catch (IOException failed) {
+                                throw new java.io.UncheckedIOException(failed);
+                            }
+                        });
         next();
         CompletableFuture<Void> stopped = site.drain();
-        Site.await(() -> {
-            try {
-                return site.ask(Site.request("GET", "/healthz", "", "")).status() == 503;
-            } catch (IOException failed) {
-                return false;
-            }
-        });
+        Site.await(
+                () -> {
+                    try {
+                        return site.ask(Site.request("GET", "/healthz", "", "")).status() == 503;
+                    } catch (IOException failed) {
+                        return false;
+                    }
+                });
         stopping.countDown();
         assertThat(taken.get(5, TimeUnit.SECONDS).body()).isEqualTo("in time");
         assertThat(read().body()).isEqualTo("in time"); // what still comes is served too
         stopped.get(5, TimeUnit.SECONDS);
     }
 
-    /** Guards against a stop that turns clients away long before the kill: what would come through it is lost. */
+    /**
+     * Guards against a stop that turns clients away long before the kill: what would come through
+     * it is lost.
+     */
     @Test
     void stopServesOpenConnectionsUntilShortlyBeforeTheKill() throws Exception {
         try (Socket client = site.connect()) {
@@ -299,15 +345,18 @@
             Instant served = told;
             try {
                 while (true) {
-                    client.getOutputStream().write(Site.request("GET", READ, HEADERS, "")
-                            .getBytes(StandardCharsets.ISO_8859_1));
+                    client.getOutputStream()
+                            .write(
+                                    Site.request("GET", READ, HEADERS, "")
+                                            .getBytes(StandardCharsets.ISO_8859_1));
                     if (Message.read(in).status() == 200) {
                         served = Instant.now();
                     }
                 }
             } catch (IOException closed) {
                 // The longest deadline of the example is 1 s; the kill comes 0.7 s after that.
-                assertThat(Duration.between(told, served)).isBetween(Duration.ofSeconds(1), Duration.ofMillis(1700));
+                assertThat(Duration.between(told, served))
+                        .isBetween(Duration.ofSeconds(1), Duration.ofMillis(1700));
             }
             stopped.get(5, TimeUnit.SECONDS);
         }
@@ -316,8 +365,10 @@
     @Test
     void stopClosesIdleConnections() throws Exception {
         try (Socket client = site.connect()) {
-            client.getOutputStream().write(Site.request("GET", READ, HEADERS, "")
-                    .getBytes(StandardCharsets.ISO_8859_1));
+            client.getOutputStream()
+                    .write(
+                            Site.request("GET", READ, HEADERS, "")
+                                    .getBytes(StandardCharsets.ISO_8859_1));
             DataInputStream in = new DataInputStream(client.getInputStream());
             assertThat(Message.read(in).status()).isEqualTo(200);
             CompletableFuture<Void> stopped = site.drain();
@@ -335,16 +386,23 @@
         // The store starts with its slack of 6 units and fills at 1 a second.
         long since = Duration.between(born, Instant.now()).toSeconds();
         assertThat((long) node.requests.size()).isBetween(3L, (7 + since) / 2);
-        assertThat(site.serve.counters().get(Name.ANSWERED_REFUSED)).isEqualTo(8 - node.requests.size());
+        assertThat(site.serve.counters().get(Name.ANSWERED_REFUSED))
+                .isEqualTo(8 - node.requests.size());
     }
 
     /** Guards against a body that trickles in and holds its room for ever. */
     @Test
     void bodyThatIsNotWholeInItsClientsTimeIsTurnedAway() throws Exception {
         try (Socket client = site.connect()) {
-            client.getOutputStream().write(("PUT " + WRITE + " HTTP/1.1\r\nHost: x\r\n"
-                    + Site.headers(200, "standard", "units=2,shard=0,hosts=1") + "Content-Length: 9\r\n\r\nhalf")
-                    .getBytes(StandardCharsets.ISO_8859_1));
+            client.getOutputStream()
+                    .write(
+                            ("PUT "
+                                            + WRITE
+                                            + " HTTP/1.1\r\nHost: x\r\n"
+                                            + Site.headers(
+                                                    200, "standard", "units=2,shard=0,hosts=1")
+                                            + "Content-Length: 9\r\n\r\nhalf")
+                                    .getBytes(StandardCharsets.ISO_8859_1));
             DataInputStream in = new DataInputStream(client.getInputStream());
             assertThat(Message.read(in).status()).isEqualTo(503);
             assertThat(in.read()).isEqualTo(-1);
@@ -352,31 +410,53 @@
         assertThat(site.serve.counters().get(Name.TAKEN)).isZero();
     }
 
-    /** Guards against those who say nothing, never end what they say, or send what is not read, for ever. */
+    /**
+     * Guards against those who say nothing, never end what they say, or send what is not read, for
+     * ever.
+     */
     @ParameterizedTest
-    @ValueSource(strings = {"", "GET /job-read/0000000000000001/00", "PUT " + WRITE + " HTTP/1.1\r\nX: x\r\n",
-        "%sContent-Length: 60000\r\n\r\nhalf", "%sContent-Length: 62914560\r\n\r\nsome"})
+    @ValueSource(
+            strings = {
+                "",
+                "GET /job-read/0000000000000001/00",
+                "PUT " + WRITE + " HTTP/1.1\r\nX: x\r\n",
+                "%sContent-Length: 60000\r\n\r\nhalf",
+                "%sContent-Length: 62914560\r\n\r\nsome"
+            })
     void connectionWithNothingOpenEndsSoon(String said) throws Exception {
         try (Socket client = site.connect()) {
             client.setSoTimeout(3000);
-            client.getOutputStream().write(said.replace("%s", Site.request("PUT", WRITE, HEADERS, "").trim() + "\r\n")
-                    .getBytes(StandardCharsets.ISO_8859_1));
-            String answer = new String(client.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+            client.getOutputStream()
+                    .write(
+                            said.replace(
+                                            "%s",
+                                            Site.request("PUT", WRITE, HEADERS, "").trim() + "\r\n")
+                                    .getBytes(StandardCharsets.ISO_8859_1));
+            String answer =
+                    new String(client.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
             assertThat(answer).matches("(HTTP/1.1 [45][0-9][0-9] (.|\\s)*)?");
         }
         assertThat(node.requests).isEmpty();
         assertThat(read().status()).isEqualTo(200);
     }
 
-    /** Guards against silent connections keeping clients out, here or in the backlog, where hundreds come. */
+    /**
+     * Guards against silent connections keeping clients out, here or in the backlog, where hundreds
+     * come.
+     */
     @Test
     void silentConnectionsDoNotKeepClientsOut() throws Exception {
         List<Socket> silent = new ArrayList<>();
         try {
             for (int i = 0; i < site.config.budget().clientConnections() + 450; i++) {
                 silent.add(site.connect());
-                silent.get(i).getOutputStream().write(i % 3 == 0 ? new byte[0] : Site.request("GET", "/healthz", "", "")
-                        .getBytes(StandardCharsets.ISO_8859_1));
+                silent.get(i)
+                        .getOutputStream()
+                        .write(
+                                i % 3 == 0
+                                        ? new byte[0]
+                                        : Site.request("GET", "/healthz", "", "")
+                                                .getBytes(StandardCharsets.ISO_8859_1));
             }
             assertThat(read().status()).isEqualTo(200);
         } finally {
@@ -386,19 +466,29 @@
         }
     }
 
-    /** Guards against serving what a node did not make for the request, and against waiting for its rest. */
+    /**
+     * Guards against serving what a node did not make for the request, and against waiting for its
+     * rest.
+     */
     @ParameterizedTest
-    @ValueSource(strings = {"noise", "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nhalf",
-        "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\nno end"})
+    @ValueSource(
+            strings = {
+                "noise",
+                "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nhalf",
+                "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
+                "HTTP/1.1 200 OK\r\n\r\nno end"
+            })
     void spoiltAnswerIsAFailedAttemptAndItsConnectionIsLeft(String spoilt) throws Exception {
         HttpPeer.Script good = answer(200, "", "good");
-        HttpPeer.Script bad = (request, out) -> {
-            HttpPeer.write(out, spoilt);
-            node.script(good);
-        };
+        HttpPeer.Script bad =
+                (request, out) -> {
+                    HttpPeer.write(out, spoilt);
+                    node.script(good);
+                };
         node.script(bad);
         String headers = Site.headers(900, "standard", "units=2,shard=0,hosts=1");
-        assertThat(site.ask(Site.request("PUT", WRITE, headers, "x")).status()).isEqualTo(502); // it may have run
+        assertThat(site.ask(Site.request("PUT", WRITE, headers, "x")).status())
+                .isEqualTo(502); // it may have run
         assertThat(node.requests).hasSize(1);
         node.script(bad);
         assertThat(read().body()).isEqualTo("good"); // a read is asked again, elsewhere
@@ -406,17 +496,21 @@
         assertThat(site.serve.counters().get(Name.SPOILT)).isEqualTo(2);
     }
 
-    /** Guards against bytes behind an answer being taken for the next one, also where they come on their own. */
+    /**
+     * Guards against bytes behind an answer being taken for the next one, also where they come on
+     * their own.
+     */
     @Test
     void whatFollowsAnAnswerIsNeverTheNextOnes() throws Exception {
         String copy = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
         CountDownLatch behind = new CountDownLatch(1);
-        node.script((request, out) -> {
-            HttpPeer.write(out, copy + "mine");
-            HttpPeer.write(out, copy + "copy");
-            behind.countDown();
-            node.script(answer(200, "", "next"));
-        });
+        node.script(
+                (request, out) -> {
+                    HttpPeer.write(out, copy + "mine");
+                    HttpPeer.write(out, copy + "copy");
+                    behind.countDown();
+                    node.script(answer(200, "", "next"));
+                });
         assertThat(read().body()).isEqualTo("mine");
         behind.await();
         assertThat(read().body()).isEqualTo("next");
@@ -427,15 +521,19 @@
     @Test
     void openRequestIsNotClosedToMakeRoom() throws Exception {
         CountDownLatch asked = new CountDownLatch(1);
-        node.script((request, out) -> {
-            asked.await();
-            answer(200, "", "kept").answer(request, out);
-        });
+        node.script(
+                (request, out) -> {
+                    asked.await();
+                    answer(200, "", "kept").answer(request, out);
+                });
         List<Socket> silent = new ArrayList<>();
         try (Socket client = site.connect()) {
-            // Its time is long, so that it does not run out while the others connect, as it did once within 900 ms.
-            client.getOutputStream().write(Site.request("GET", READ, HEADERS.replace(": 900", ": 20000"), "")
-                    .getBytes(StandardCharsets.ISO_8859_1));
+            // Its time is long, so that it does not run out while the others connect, as it did
+            // once within 900 ms.
+            client.getOutputStream()
+                    .write(
+                            Site.request("GET", READ, HEADERS.replace(": 900", ": 20000"), "")
+                                    .getBytes(StandardCharsets.ISO_8859_1));
             next();
             for (int i = 0; i < site.config.budget().clientConnections() + 100; i++) {
                 silent.add(site.connect());
@@ -451,17 +549,34 @@
         }
     }
 
-    /** Guards against a request hidden in another's body, and against lengths that can be read in two ways. */
+    /**
+     * Guards against a request hidden in another's body, and against lengths that can be read in
+     * two ways.
+     */
     @ParameterizedTest
-    @ValueSource(strings = {"Content-Length: 4\r\nTransfer-Encoding: chunked", "Transfer-Encoding: x, chunked",
-        "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity", "Content-Length: -4", "Content-Length: 0x4",
-        "Content-Length: 4\r\nContent-Length: 5", "Content-Length: 99999999999999999999",
-        "Transfer-Encoding : chunked", "Content-Length: 4\r\nTransfer-Encoding: identity"})
+    @ValueSource(
+            strings = {
+                "Content-Length: 4\r\nTransfer-Encoding: chunked",
+                "Transfer-Encoding: x, chunked",
+                "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity",
+                "Content-Length: -4",
+                "Content-Length: 0x4",
+                "Content-Length: 4\r\nContent-Length: 5",
+                "Content-Length: 99999999999999999999",
+                "Transfer-Encoding : chunked",
+                "Content-Length: 4\r\nTransfer-Encoding: identity"
+            })
     void bodyWhoseEndIsNotPlainIsNeverPassedOn(String framing) throws Exception {
         try (Socket client = site.connect()) {
             String hidden = Site.request("GET", READ, HEADERS, "");
-            client.getOutputStream().write((Site.request("PUT", WRITE, HEADERS, "").trim() + "\r\n" + framing
-                    + "\r\n\r\n0\r\n\r\n" + hidden).getBytes(StandardCharsets.ISO_8859_1));
+            client.getOutputStream()
+                    .write(
+                            (Site.request("PUT", WRITE, HEADERS, "").trim()
+                                            + "\r\n"
+                                            + framing
+                                            + "\r\n\r\n0\r\n\r\n"
+                                            + hidden)
+                                    .getBytes(StandardCharsets.ISO_8859_1));
             DataInputStream in = new DataInputStream(client.getInputStream());
             assertThat(Message.read(in).status()).isEqualTo(400);
             assertThat(in.read()).isEqualTo(-1);
@@ -473,17 +588,19 @@
     @Test
     void idOfAnotherOpenRequestIsTurnedDown() throws Exception {
         CountDownLatch asked = new CountDownLatch(1);
-        node.script((request, out) -> {
-            asked.await();
-            answer(200, "", "mine").answer(request, out);
-        });
+        node.script(
+                (request, out) -> {
+                    asked.await();
+                    answer(200, "", "mine").answer(request, out);
+                });
         try (Socket client = site.connect()) {
             String request = Site.request("GET", READ, HEADERS, "");
             client.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
             next();
             assertThat(site.ask(request).status()).isEqualTo(409);
             asked.countDown();
-            assertThat(Message.read(new DataInputStream(client.getInputStream())).body()).isEqualTo("mine");
+            assertThat(Message.read(new DataInputStream(client.getInputStream())).body())
+                    .isEqualTo("mine");
         }
         assertThat(node.requests).isEmpty();
     }
@@ -492,8 +609,14 @@
     void clientThatWaitsToBeToldToGoOnIsTold() throws Exception {
         try (Socket client = site.connect()) {
             DataInputStream in = new DataInputStream(client.getInputStream());
-            client.getOutputStream().write(("PUT " + WRITE + " HTTP/1.1\r\nHost: x\r\n" + HEADERS
-                    + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
+            client.getOutputStream()
+                    .write(
+                            ("PUT "
+                                            + WRITE
+                                            + " HTTP/1.1\r\nHost: x\r\n"
+                                            + HEADERS
+                                            + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n")
+                                    .getBytes(StandardCharsets.ISO_8859_1));
             assertThat(Message.read(in).status()).isEqualTo(100);
             client.getOutputStream().write("data".getBytes(StandardCharsets.ISO_8859_1));
             assertThat(Message.read(in).status()).isEqualTo(200);
@@ -503,10 +626,17 @@
 
     @Test
     void chunkedAnswerIsServedWholeAndOneThatIsTooLongIsNot() throws Exception {
-        node.script((request, out) -> HttpPeer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + "2710\r\n" + "a".repeat(10_000) + "\r\n1\r\nb\r\n0\r\n\r\n"));
+        node.script(
+                (request, out) ->
+                        HttpPeer.write(
+                                out,
+                                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                        + "2710\r\n"
+                                        + "a".repeat(10_000)
+                                        + "\r\n1\r\nb\r\n0\r\n\r\n"));
         assertThat(read().body()).isEqualTo("a".repeat(10_000) + "b");
-        node.script(answer(200, "", "x".repeat(400_000))); // as they were seen where 64 KiB were told
+        node.script(
+                answer(200, "", "x".repeat(400_000))); // as they were seen where 64 KiB were told
         assertThat(read().body()).isEqualTo("x".repeat(400_000));
         node.script(answer(200, "", "x".repeat(2_100_000)));
         assertThat(write().status()).isEqualTo(502);
@@ -515,15 +645,16 @@
     @Test
     void countersAreShownOnRequest() throws Exception {
         read();
-        assertThat(site.ask(Site.request("GET", "/counters", "", "")).body()).contains("taken 1\n",
-                "sent 1\n", "answered_served 1\n");
+        assertThat(site.ask(Site.request("GET", "/counters", "", "")).body())
+                .contains("taken 1\n", "sent 1\n", "answered_served 1\n");
     }
 
     @Test
     void nextRequestAheadOfTimeIsKept() throws Exception {
         // Guards against the watch for a client's end taking the bytes of its next request.
         try (Socket client = site.connect()) {
-            String two = Site.request("GET", READ, HEADERS, "") + Site.request("GET", READ, HEADERS, "");
+            String two =
+                    Site.request("GET", READ, HEADERS, "") + Site.request("GET", READ, HEADERS, "");
             client.getOutputStream().write(two.getBytes(StandardCharsets.ISO_8859_1));
             DataInputStream in = new DataInputStream(client.getInputStream());
             assertThat(Message.read(in).status()).isEqualTo(200);
@@ -531,7 +662,9 @@
         }
     }
 
-    /** What a silent watch misses counts as told 6 s after it fell silent: it is open anew by then. */
+    /**
+     * What a silent watch misses counts as told 6 s after it fell silent: it is open anew by then.
+     */
     @Test
     void aWatchThatFallsSilentIsOpenedAnewBeforeItsChangesCountAsTold() throws Exception {
         site.tell(42, 0, node.hostPort(), "active");
@@ -539,23 +672,29 @@
         long silent = System.nanoTime();
         assertThat(site.discovery.requests.poll(5, TimeUnit.SECONDS)).isNotNull();
         assertThat(site.discovery.requests.poll(7, TimeUnit.SECONDS).first()).contains("index=42");
-        assertThat(System.nanoTime() - silent).as("an empty line may be late, and no more")
+        assertThat(System.nanoTime() - silent)
+                .as("an empty line may be late, and no more")
                 .isBetween(2_000_000_000L, 5_500_000_000L);
     }
 
     /** Guards against answers whose buffers wait to be freed until there is no room for another. */
     @Test
     void aStormOfRefusalsTakesNoRoomBesideTheHeap() throws Exception {
-        BufferPoolMXBean direct = ManagementFactory.getPlatformMXBeans(BufferPoolMXBean.class).stream()
-                .filter(pool -> pool.getName().equals("direct")).findFirst().orElseThrow();
+        BufferPoolMXBean direct =
+                ManagementFactory.getPlatformMXBeans(BufferPoolMXBean.class).stream()
+                        .filter(pool -> pool.getName().equals("direct"))
+                        .findFirst()
+                        .orElseThrow();
         long before = direct.getMemoryUsed();
         long most = 0;
         String elsewhere = HEADERS.replace("shard=0", "shard=1");
         try (Socket client = site.connect()) {
             DataInputStream in = new DataInputStream(client.getInputStream());
             for (int i = 0; i < 5000; i++) {
-                client.getOutputStream().write(Site.request("GET", READ, elsewhere, "")
-                        .getBytes(StandardCharsets.ISO_8859_1));
+                client.getOutputStream()
+                        .write(
+                                Site.request("GET", READ, elsewhere, "")
+                                        .getBytes(StandardCharsets.ISO_8859_1));
                 assertThat(Message.read(in).status()).isEqualTo(503);
                 most = Math.max(most, direct.getMemoryUsed() - before);
             }
--- a/src/test/java/cypressglade/http/StormFrontTest.java
+++ b/src/test/java/cypressglade/http/StormFrontTest.java
@@ -24,21 +24,26 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Storms on real sockets: writes in doubt run once, and a wave of connects does not stop who is connected. */
+/**
+ * Storms on real sockets: writes in doubt run once, and a wave of connects does not stop who is
+ * connected.
+ */
 class StormFrontTest {
     private static final String WRITE = "/job-write/00000003b4d60021/7f3a9c21e0b4d655";
     private static final String SECOND = "X-Second-Try: 1\r\n";
     private static final int CONNECTS = 500; // as many as the backlog holds
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private final CountDownLatch late = new CountDownLatch(1);
-    private final HttpPeer node = new HttpPeer((request, out) -> {
-        if (request.first().contains(WRITE)) {
-            assertThat(late.await(5, TimeUnit.SECONDS)).isTrue(); // the first run ends late
-        }
-        HttpPeer.answer(200, "", "done").answer(request, out);
-    });
+    private final HttpPeer node =
+            new HttpPeer(
+                    (request, out) -> {
+                        if (request.first().contains(WRITE)) {
+                            assertThat(late.await(5, TimeUnit.SECONDS))
+                                    .isTrue(); // the first run ends late
+                        }
+                        HttpPeer.answer(200, "", "done").answer(request, out);
+                    });
 
     @AfterEach
     void stop() throws IOException {
@@ -47,9 +52,16 @@
     }
 
     private Site site(Optional<Path> doubts) throws Exception {
-        Path file = Files.writeString(folder.resolve("storms.json"), Files.readString(Path.of("deploy/storms.json"))
-                .replace("\"enabled\": false", "\"enabled\": true").replace("\"doubt_dir\": \"\"",
-                        "\"doubt_dir\": \"" + doubts.map(Path::toString).orElse("") + "\""));
+        Path file =
+                Files.writeString(
+                        folder.resolve("storms.json"),
+                        Files.readString(Path.of("deploy/storms.json"))
+                                .replace("\"enabled\": false", "\"enabled\": true")
+                                .replace(
+                                        "\"doubt_dir\": \"\"",
+                                        "\"doubt_dir\": \""
+                                                + doubts.map(Path::toString).orElse("")
+                                                + "\""));
         Optional<Terms> terms = StormsConfigParser.read(file);
         return new Site(Site.entry(0, node.hostPort(), "active", 0), files(terms));
     }
@@ -59,13 +71,18 @@
     }
 
     private static String write(String path, int expiresMs, String mark) {
-        return Site.request("PUT", path, Site.headers(expiresMs, "standard", "units=2,shard=0,hosts=1") + mark, "data");
+        return Site.request(
+                "PUT",
+                path,
+                Site.headers(expiresMs, "standard", "units=2,shard=0,hosts=1") + mark,
+                "data");
     }
 
     /** A write whose client gives up while it runs. */
     private void doubt(Site site) throws Exception {
         try (Socket client = site.connect()) {
-            client.getOutputStream().write(write(WRITE, 600, "").getBytes(StandardCharsets.US_ASCII));
+            client.getOutputStream()
+                    .write(write(WRITE, 600, "").getBytes(StandardCharsets.US_ASCII));
             assertThat(node.requests.poll(5, TimeUnit.SECONDS)).isNotNull();
         }
         Site.await(() -> site.serve.counters().get(Name.GONE) == 1);
@@ -89,7 +106,9 @@
             Site.await(() -> site.serve.counters().get(Name.ENDED_OK) == 1);
             secondTryIsNotSent(site, "when the first has ended late");
             String other = WRITE.replace("d655", "d656");
-            assertThat(site.ask(write(other, 600, SECOND)).status()).as("another piece").isEqualTo(200);
+            assertThat(site.ask(write(other, 600, SECOND)).status())
+                    .as("another piece")
+                    .isEqualTo(200);
         }
     }
 
@@ -104,12 +123,16 @@
         String other = WRITE.replace("d655", "d656");
         try (Site site = site(Optional.of(kept))) {
             secondTryIsNotSent(site, "after a stop in order");
-            assertThat(site.ask(write(other, 600, SECOND)).status()).as("another piece").isEqualTo(200);
+            assertThat(site.ask(write(other, 600, SECOND)).status())
+                    .as("another piece")
+                    .isEqualTo(200);
             node.requests.clear();
         } // and this one does not stop in order
         try (Site site = site(Optional.of(kept))) {
             secondTryIsNotSent(site, "after a crash");
-            assertThat(site.ask(write(other, 600, SECOND)).status()).as("any second try after a crash").isEqualTo(502);
+            assertThat(site.ask(write(other, 600, SECOND)).status())
+                    .as("any second try after a crash")
+                    .isEqualTo(502);
             assertThat(site.ask(write(other, 600, "")).status()).as("a first try").isEqualTo(200);
         }
     }
@@ -119,7 +142,8 @@
         List<Socket> crowd = new ArrayList<>();
         String read = "/job-read/00000003b4d60021/7f3a9c21e0b4d655";
         String headers = Site.headers(900, "standard", "units=2,shard=0,hosts=1");
-        try (Site site = site(Optional.empty()); Socket connected = site.connect()) {
+        try (Site site = site(Optional.empty());
+                Socket connected = site.connect()) {
             DataInputStream in = new DataInputStream(connected.getInputStream());
             for (int i = 0; i < 20; i++) {
                 for (int n = 0; n < CONNECTS / 20; n++) {
@@ -127,8 +151,11 @@
                     crowd.add(one);
                     one.connect(site.serve.address(), 5000);
                 }
-                connected.getOutputStream().write(Site.request("GET", read, headers, "").getBytes(
-                        StandardCharsets.US_ASCII));
+                connected
+                        .getOutputStream()
+                        .write(
+                                Site.request("GET", read, headers, "")
+                                        .getBytes(StandardCharsets.US_ASCII));
                 assertThat(Message.read(in).status()).isEqualTo(200);
             }
         } finally {
--- a/src/test/java/cypressglade/known/KnownRed.java
+++ b/src/test/java/cypressglade/known/KnownRed.java
@@ -11,8 +11,9 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Passes over the failures of tests that {@code KNOWN-RED.txt} lists, prints each, and reports them as skipped. A
- * listed test without arguments that passes fails: its fault is mended, and its line must go.
+ * Passes over the failures of tests that {@code KNOWN-RED.txt} lists, prints each, and reports them
+ * as skipped. A listed test without arguments that passes fails: its fault is mended, and its line
+ * must go.
  */
 public final class KnownRed implements TestExecutionExceptionHandler, AfterTestExecutionCallback {
     static final Path FILE = Path.of("KNOWN-RED.txt");
@@ -20,7 +21,9 @@
 
     /** One line of the file: {@code Class.method | cause | issue}. */
     record Line(String test, String cause, String issue) {
-        /** @throws IllegalArgumentException where the line has not its three parts */
+        /**
+         * @throws IllegalArgumentException where the line has not its three parts
+         */
         static Line parse(String text) {
             String[] parts = text.split(SEPARATOR);
             if (parts.length != 3) {
@@ -32,17 +35,25 @@
 
     /** What the file lists; nothing where there is none. */
     static List<Line> lines() throws IOException {
-        return Files.exists(FILE) ? Files.readAllLines(FILE).stream().filter(line -> !line.isBlank())
-                .map(Line::parse).toList() : List.of();
+        return Files.exists(FILE)
+                ? Files.readAllLines(FILE).stream()
+                        .filter(line -> !line.isBlank())
+                        .map(Line::parse)
+                        .toList()
+                : List.of();
     }
 
     private static Optional<Line> listed(ExtensionContext context) throws IOException {
-        String name = context.getRequiredTestClass().getSimpleName() + "." + context.getRequiredTestMethod().getName();
+        String name =
+                context.getRequiredTestClass().getSimpleName()
+                        + "."
+                        + context.getRequiredTestMethod().getName();
         return lines().stream().filter(line -> line.test().equals(name)).findFirst();
     }
 
     @Override
-    public void handleTestExecutionException(ExtensionContext context, Throwable failure) throws Throwable {
+    public void handleTestExecutionException(ExtensionContext context, Throwable failure)
+            throws Throwable {
         Optional<Line> known = listed(context);
         if (known.isEmpty()) {
             throw failure;
--- a/src/test/java/cypressglade/known/KnownRedTest.java
+++ b/src/test/java/cypressglade/known/KnownRedTest.java
@@ -23,9 +23,12 @@
         for (KnownRed.Line line : KnownRed.lines()) {
             int dot = line.test().indexOf('.');
             try (var files = Files.walk(TESTS)) {
-                Path file = files.filter(path -> path.endsWith(line.test().substring(0, dot) + ".java")).findFirst()
-                        .orElseThrow(() -> new AssertionError("no class of " + line));
-                assertThat(Files.readString(file)).contains("void " + line.test().substring(dot + 1) + "(");
+                Path file =
+                        files.filter(path -> path.endsWith(line.test().substring(0, dot) + ".java"))
+                                .findFirst()
+                                .orElseThrow(() -> new AssertionError("no class of " + line));
+                assertThat(Files.readString(file))
+                        .contains("void " + line.test().substring(dot + 1) + "(");
             }
             assertThat(line.cause()).isNotEmpty();
             assertThat(line.issue()).matches("issue \\d+");
@@ -34,7 +37,9 @@
 
     @Test
     void aLineWithoutItsThreePartsIsNoLine() {
-        assertThat(KnownRed.Line.parse("A.b | why | issue 1")).isEqualTo(new KnownRed.Line("A.b", "why", "issue 1"));
-        assertThatThrownBy(() -> KnownRed.Line.parse("A.b | why")).isInstanceOf(IllegalArgumentException.class);
+        assertThat(KnownRed.Line.parse("A.b | why | issue 1"))
+                .isEqualTo(new KnownRed.Line("A.b", "why", "issue 1"));
+        assertThatThrownBy(() -> KnownRed.Line.parse("A.b | why"))
+                .isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/src/test/java/cypressglade/lab/FaultScriptTest.java
+++ b/src/test/java/cypressglade/lab/FaultScriptTest.java
@@ -15,17 +15,23 @@
 class FaultScriptTest {
     @Test
     void stepsGoByTimeAndAct() throws Exception {
-        FaultScript script = FaultScript.parse("s", """
+        FaultScript script =
+                FaultScript.parse(
+                        "s",
+                        """
                 # a split, with one link that loses half
                 2s cut 0,1 2
                 0s loss 0 1 0.5
                 500ms kill 2
                 3s mend
-                """, 3);
-        assertThat(script.steps()).extracting(FaultScript.Step::verb)
+                """,
+                        3);
+        assertThat(script.steps())
+                .extracting(FaultScript.Step::verb)
                 .containsExactly(Verb.LOSS, Verb.KILL, Verb.CUT, Verb.MEND);
         Faults faults = new Faults(7);
-        assertThat(script.steps()).extracting(step -> FaultScript.apply(step, faults))
+        assertThat(script.steps())
+                .extracting(step -> FaultScript.apply(step, faults))
                 .containsExactly(true, false, true, true);
         long passed = IntStream.range(0, 1000).filter(i -> !faults.fate(0, 1).isEmpty()).count();
         assertThat(passed).isBetween(440L, 560L);
@@ -39,20 +45,37 @@
     @Test
     void oneSeedGivesEachLinkTheSameFates() {
         List<Faults> twice = List.of(new Faults(3), new Faults(3));
-        Faults.Rule rule = Faults.Rule.NONE.loss(0.3).twice(0.3).outOfTurn(0.3)
-                .delay(Duration.ofMillis(1), Duration.ofMillis(20));
+        Faults.Rule rule =
+                Faults.Rule.NONE
+                        .loss(0.3)
+                        .twice(0.3)
+                        .outOfTurn(0.3)
+                        .delay(Duration.ofMillis(1), Duration.ofMillis(20));
         twice.forEach(faults -> faults.all(rule));
         twice.get(1).fate(1, 0); // what another link carried is of no account
-        List<List<List<Duration>>> fates = twice.stream().map(faults -> IntStream.range(0, 200)
-                .mapToObj(i -> faults.fate(0, 1)).toList()).toList();
+        List<List<List<Duration>>> fates =
+                twice.stream()
+                        .map(
+                                faults ->
+                                        IntStream.range(0, 200)
+                                                .mapToObj(i -> faults.fate(0, 1))
+                                                .toList())
+                        .toList();
         assertThat(fates.get(0)).isEqualTo(fates.get(1));
         assertThat(fates.get(0)).extracting(List::size).contains(0, 1, 2);
-        assertThat(fates.get(0).stream().flatMap(List::stream)).allMatch(late -> !late.minusMillis(1).isNegative()
-                && late.compareTo(Duration.ofMillis(70)) <= 0).anyMatch(late -> late.toMillis() > 50);
+        assertThat(fates.get(0).stream().flatMap(List::stream))
+                .allMatch(
+                        late ->
+                                !late.minusMillis(1).isNegative()
+                                        && late.compareTo(Duration.ofMillis(70)) <= 0)
+                .anyMatch(late -> late.toMillis() > 50);
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', textBlock = """
+    @CsvSource(
+            delimiter = '|',
+            textBlock =
+                    """
             cut 0 1            | s:2: 'cut' is no time: give 250ms or 12s
             1s burn 1          | s:2: a line is TIME VERB ..., VERB one of delay loss
             1s cut 0           | s:2: cut takes 2 words, not 1
@@ -64,6 +87,7 @@
             """)
     void unusableLineIsNamedWithItsRemedy(String line, String message) {
         assertThatThrownBy(() -> FaultScript.parse("s", "0s mend\n" + line, 3))
-                .isInstanceOf(FaultScript.Unusable.class).hasMessageStartingWith(message);
+                .isInstanceOf(FaultScript.Unusable.class)
+                .hasMessageStartingWith(message);
     }
 }
--- a/src/test/java/cypressglade/lab/StormLabTest.java
+++ b/src/test/java/cypressglade/lab/StormLabTest.java
@@ -17,15 +17,27 @@
 /** Outages in virtual time: one node, a fifth, all; one that dies again; one that moves on. */
 class StormLabTest {
     private static final Duration SPAN = Duration.ofSeconds(60);
-    private static final List<Habit> MIXED = List.of(Habit.HEEDS, Habit.AT_ONCE, Habit.FIXED, Habit.EXPONENTIAL);
+    private static final List<Habit> MIXED =
+            List.of(Habit.HEEDS, Habit.AT_ONCE, Habit.FIXED, Habit.EXPONENTIAL);
 
     private static Outage outage(int from, int to, int begin, int end) {
         return new Outage(from, to, Duration.ofSeconds(begin), Duration.ofSeconds(end));
     }
 
     private static Result play(List<Outage> outages, boolean damped) {
-        return new StormLab(new Scene(4, 20, 2000, 20, 0.6, MIXED, outages, SPAN,
-                damped ? Optional.of(Terms.USUAL) : Optional.empty(), 7)).play();
+        return new StormLab(
+                        new Scene(
+                                4,
+                                20,
+                                2000,
+                                20,
+                                0.6,
+                                MIXED,
+                                outages,
+                                SPAN,
+                                damped ? Optional.of(Terms.USUAL) : Optional.empty(),
+                                7))
+                .play();
     }
 
     @ParameterizedTest
@@ -37,19 +49,28 @@
 
     @Test
     void aNodeThatDiesAgainWhileItRecovers() {
-        assertThat(play(List.of(outage(0, 4, 10, 15), outage(0, 4, 17, 22)), true).recoveryS()).isBetween(0.0, 30.0);
+        assertThat(play(List.of(outage(0, 4, 10, 15), outage(0, 4, 17, 22)), true).recoveryS())
+                .isBetween(0.0, 30.0);
     }
 
     @Test
     void aStormThatMovesFromNodeToNode() {
-        assertThat(play(List.of(outage(0, 5, 10, 14), outage(5, 10, 14, 18), outage(10, 15, 18, 22)), true).recoveryS())
+        assertThat(
+                        play(
+                                        List.of(
+                                                outage(0, 5, 10, 14),
+                                                outage(5, 10, 14, 18),
+                                                outage(10, 15, 18, 22)),
+                                        true)
+                                .recoveryS())
                 .isBetween(0.0, 30.0);
     }
 
     @Test
     void whoHeedsIsServedNoWorseThanWhoIsDeaf() {
         Result damped = play(List.of(outage(0, 20, 10, 15)), true);
-        assertThat(damped.served().get(Habit.HEEDS)).isGreaterThan(damped.served().get(Habit.AT_ONCE));
+        assertThat(damped.served().get(Habit.HEEDS))
+                .isGreaterThan(damped.served().get(Habit.AT_ONCE));
         assertThat(damped.turned()).isPositive();
     }
 
--- a/src/test/java/cypressglade/measure/Figures.java
+++ b/src/test/java/cypressglade/measure/Figures.java
@@ -7,8 +7,13 @@
     private boolean missed;
 
     public void say(String name, double value) {
-        System.out.printf(Locale.ROOT, "%s=%s%n", name, value == Math.rint(value) ? String.valueOf((long) value)
-                : String.format(Locale.ROOT, "%.4g", value));
+        System.out.printf(
+                Locale.ROOT,
+                "%s=%s%n",
+                name,
+                value == Math.rint(value)
+                        ? String.valueOf((long) value)
+                        : String.format(Locale.ROOT, "%.4g", value));
     }
 
     public void atMost(String name, double value, double bound) {
--- a/src/test/java/cypressglade/member/SwimTest.java
+++ b/src/test/java/cypressglade/member/SwimTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cypressglade.member.Member.State;
 import cypressglade.lab.MemberNet;
+import cypressglade.member.Member.State;
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.time.Instant;
@@ -28,12 +28,16 @@
 
     /** Whether all that run see the same number of others. */
     private void assertAllSee(int others) {
-        net.running.values().forEach(swim -> assertThat(swim.present()).as(swim.self().name()).hasSize(others));
+        net.running
+                .values()
+                .forEach(swim -> assertThat(swim.present()).as(swim.self().name()).hasSize(others));
     }
 
     private long seenAs(String name, State state) {
-        return net.running.values().stream().flatMap(swim -> swim.list().stream())
-                .filter(member -> member.name().equals(name) && member.state() == state).count();
+        return net.running.values().stream()
+                .flatMap(swim -> swim.list().stream())
+                .filter(member -> member.name().equals(name) && member.state() == state)
+                .count();
     }
 
     @ParameterizedTest
@@ -51,8 +55,10 @@
         net.stop(7);
         net.pass(MINUTE);
         assertThat(seenAs("i-7", State.DEAD)).isEqualTo(39);
-        assertThat(net.changes).filteredOn(change -> change.member().state() == State.DEAD)
-                .extracting(change -> change.member().name()).containsOnly("i-7");
+        assertThat(net.changes)
+                .filteredOn(change -> change.member().state() == State.DEAD)
+                .extracting(change -> change.member().name())
+                .containsOnly("i-7");
     }
 
     @Test
@@ -62,10 +68,15 @@
         net.running.get("i-3").leave(net.now);
         net.pass(MINUTE);
         assertThat(seenAs("i-3", State.LEFT)).isEqualTo(10);
-        assertThat(net.changes).extracting(change -> change.member().state()).containsOnly(State.LEFT);
+        assertThat(net.changes)
+                .extracting(change -> change.member().state())
+                .containsOnly(State.LEFT);
     }
 
-    /** A restart under the same name, before or after the others noticed; word of the former life is overruled. */
+    /**
+     * A restart under the same name, before or after the others noticed; word of the former life is
+     * overruled.
+     */
     @ParameterizedTest
     @ValueSource(ints = {0, 2, 60})
     void restartUnderTheSameNameIsTakenBackWithItsNewLife(int secondsAway) {
@@ -76,9 +87,14 @@
         Swim again = net.start(4);
         net.pass(MINUTE);
         assertAllSee(9);
-        net.running.values().forEach(swim -> assertThat(swim.list())
-                .filteredOn(member -> member.name().equals("i-4")).extracting(Member::life)
-                .containsExactly(again.self().life()));
+        net.running
+                .values()
+                .forEach(
+                        swim ->
+                                assertThat(swim.list())
+                                        .filteredOn(member -> member.name().equals("i-4"))
+                                        .extracting(Member::life)
+                                        .containsExactly(again.self().life()));
         assertThat(again.self().life()).isNotEqualTo(before);
         assertThat(again.self().incarnation()).isPositive();
     }
@@ -95,24 +111,42 @@
         assertAllSee(11);
     }
 
-    /** Only the direct way between two is cut: the others ask for them, and nobody is taken for dead. */
+    /**
+     * Only the direct way between two is cut: the others ask for them, and nobody is taken for
+     * dead.
+     */
     @Test
     void indirectProbesKeepWhoCannotBeReachedDirectly() {
         start(8);
         net.changes.clear();
-        net.cut = (from, to) -> from.equals("i-1") && to.equals("i-2") || from.equals("i-2") && to.equals("i-1");
+        net.cut =
+                (from, to) ->
+                        from.equals("i-1") && to.equals("i-2")
+                                || from.equals("i-2") && to.equals("i-1");
         net.pass(MINUTE.multipliedBy(5));
-        assertThat(net.changes).extracting(change -> change.member().state()).doesNotContain(State.DEAD);
+        assertThat(net.changes)
+                .extracting(change -> change.member().state())
+                .doesNotContain(State.DEAD);
         assertAllSee(7);
     }
 
-    /** Guards against a suspicion that whoever passes it on seems to share, which leaves no time to clear it. */
+    /**
+     * Guards against a suspicion that whoever passes it on seems to share, which leaves no time to
+     * clear it.
+     */
     @Test
     void listsThatPassASuspicionOnDoNotShareIt() {
         Swim swim = net.start(0);
         Member accused = new Member("x", MemberNet.address(9), 5, 0, State.SUSPECT);
-        swim.receive(new Message(Message.Kind.PING, 1, "", null, List.of(new News(member("y", State.ALIVE), ""),
-                new News(accused, "y"))), MemberNet.address(8), net.now);
+        swim.receive(
+                new Message(
+                        Message.Kind.PING,
+                        1,
+                        "",
+                        null,
+                        List.of(new News(member("y", State.ALIVE), ""), new News(accused, "y"))),
+                MemberNet.address(8),
+                net.now);
         swim.merge(List.of(accused), net.now);
         Duration byTwo = Timing.standard().suspicion(2, 1); // of y, and of its own probes
         net.pass(byTwo.minusMillis(500));
@@ -121,7 +155,10 @@
         assertThat(seenAs("x", State.DEAD)).isEqualTo(1);
     }
 
-    /** Guards against a pause of this process being taken for the silence of those whom it suspected before. */
+    /**
+     * Guards against a pause of this process being taken for the silence of those whom it suspected
+     * before.
+     */
     @Test
     void suspicionsGetTheTimeBackInWhichThisProcessStoodStill() {
         start(3);
@@ -134,8 +171,10 @@
         net.changes.clear();
         net.resume(0);
         net.pass(MINUTE);
-        assertThat(net.changes).filteredOn(change -> change.seenBy().equals("i-0"))
-                .extracting(change -> change.member().state()).doesNotContain(State.DEAD);
+        assertThat(net.changes)
+                .filteredOn(change -> change.seenBy().equals("i-0"))
+                .extracting(change -> change.member().state())
+                .doesNotContain(State.DEAD);
         assertThat(swim.stalls()).isPositive();
         assertAllSee(2);
     }
@@ -150,19 +189,34 @@
         if (list) {
             swim.merge(List.of(dead), net.now);
         } else {
-            swim.receive(new Message(Message.Kind.ACK, 0, "", null, List.of(
-                    new News(net.running.get("i-2").self(), "i-2"), new News(dead, "i-2"))), MemberNet.address(2),
+            swim.receive(
+                    new Message(
+                            Message.Kind.ACK,
+                            0,
+                            "",
+                            null,
+                            List.of(
+                                    new News(net.running.get("i-2").self(), "i-2"),
+                                    new News(dead, "i-2"))),
+                    MemberNet.address(2),
                     net.now);
         }
-        assertThat(swim.list()).filteredOn(member -> member.name().equals("i-1")).extracting(Member::state)
+        assertThat(swim.list())
+                .filteredOn(member -> member.name().equals("i-1"))
+                .extracting(Member::state)
                 .containsExactly(State.SUSPECT);
         net.changes.clear();
         net.pass(MINUTE);
-        assertThat(net.changes).extracting(change -> change.member().state()).doesNotContain(State.DEAD);
+        assertThat(net.changes)
+                .extracting(change -> change.member().state())
+                .doesNotContain(State.DEAD);
         assertAllSee(2);
     }
 
-    /** A name in use is kept by its holder against another process, at each member and at the holder itself. */
+    /**
+     * A name in use is kept by its holder against another process, at each member and at the holder
+     * itself.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"i-0", "i-1"})
     void anotherProcessUnderANameInUseIsRefused(String by) {
@@ -170,10 +224,14 @@
         Swim swim = net.running.get(by);
         Member holder = net.running.get("i-1").self();
         Member claim = new Member("i-1", MemberNet.address(77), 99, 50, State.ALIVE);
-        swim.receive(new Message(Message.Kind.PING, 1, "", null, List.of(new News(claim, "i-1"))),
-                claim.address(), net.now);
+        swim.receive(
+                new Message(Message.Kind.PING, 1, "", null, List.of(new News(claim, "i-1"))),
+                claim.address(),
+                net.now);
         assertThat(swim.namesRefused()).isEqualTo(1);
-        assertThat(swim.list()).filteredOn(member -> member.name().equals("i-1")).containsExactly(holder);
+        assertThat(swim.list())
+                .filteredOn(member -> member.name().equals("i-1"))
+                .containsExactly(holder);
     }
 
     @Test
@@ -193,27 +251,58 @@
     @Test
     void roomForMembersIsBounded() {
         Swim swim = net.start(0);
-        IntStream.range(1, 2000).forEach(i -> swim.merge(List.of(new Member("x-" + i, MemberNet.address(i), i, 1,
-                State.ALIVE)), net.now));
+        IntStream.range(1, 2000)
+                .forEach(
+                        i ->
+                                swim.merge(
+                                        List.of(
+                                                new Member(
+                                                        "x-" + i,
+                                                        MemberNet.address(i),
+                                                        i,
+                                                        1,
+                                                        State.ALIVE)),
+                                        net.now));
         assertThat(swim.present()).hasSize(Timing.standard().mostMembers());
         assertThat(swim.turnedAway()).isEqualTo(1999 - Timing.standard().mostMembers());
     }
 
-    /** Whatever order changes come in, the later incarnation holds, and within one the worse state. */
+    /**
+     * Whatever order changes come in, the later incarnation holds, and within one the worse state.
+     */
     @Test
     void orderOfNewsDoesNotMatter() {
         SplittableRandom random = new SplittableRandom(3);
         for (int round = 0; round < 200; round++) {
-            List<Member> told = new java.util.ArrayList<>(IntStream.range(0, 8).mapToObj(i -> new Member("x",
-                    MemberNet.address(9), 5, random.nextInt(4), State.values()[random.nextInt(4)])).toList());
+            List<Member> told =
+                    new java.util.ArrayList<>(
+                            IntStream.range(0, 8)
+                                    .mapToObj(
+                                            i ->
+                                                    new Member(
+                                                            "x",
+                                                            MemberNet.address(9),
+                                                            5,
+                                                            random.nextInt(4),
+                                                            State.values()[random.nextInt(4)]))
+                                    .toList());
             told.add(0, new Member("x", MemberNet.address(9), 5, 0, State.ALIVE));
-            Member last = told.stream().reduce((one, other) -> other.overrules(one) ? other : one).orElseThrow();
+            Member last =
+                    told.stream()
+                            .reduce((one, other) -> other.overrules(one) ? other : one)
+                            .orElseThrow();
             java.util.Collections.shuffle(told.subList(1, told.size()), new Random(round));
             Swim swim = new MemberNet(1, Timing.standard()).start(0);
-            List<News> news = new java.util.ArrayList<>(List.of(new News(member("y", State.ALIVE), "y")));
+            List<News> news =
+                    new java.util.ArrayList<>(List.of(new News(member("y", State.ALIVE), "y")));
             told.forEach(member -> news.add(new News(member, "y")));
-            swim.receive(new Message(Message.Kind.ACK, 1, "", null, news), MemberNet.address(1), Instant.EPOCH);
-            assertThat(swim.list()).filteredOn(member -> member.name().equals("x")).containsExactly(last);
+            swim.receive(
+                    new Message(Message.Kind.ACK, 1, "", null, news),
+                    MemberNet.address(1),
+                    Instant.EPOCH);
+            assertThat(swim.list())
+                    .filteredOn(member -> member.name().equals("x"))
+                    .containsExactly(last);
         }
     }
 
@@ -221,11 +310,18 @@
     @Test
     void censusForgetsWhoWasLostLaterThanWhoLeft() {
         Census census = new Census("b", Duration.ofSeconds(30));
-        List<Member> all = List.of(member("a", State.ALIVE), member("c", State.SUSPECT), member("d", State.ALIVE));
+        List<Member> all =
+                List.of(
+                        member("a", State.ALIVE),
+                        member("c", State.SUSPECT),
+                        member("d", State.ALIVE));
         assertThat(census.count(all, Instant.EPOCH)).isEqualTo(new Census.Share(1, 4));
-        List<Member> less = List.of(member("a", State.DEAD), member("c", State.ALIVE), member("d", State.LEFT));
-        assertThat(census.count(less, Instant.EPOCH.plusSeconds(29))).isEqualTo(new Census.Share(1, 3));
-        assertThat(census.count(less, Instant.EPOCH.plusSeconds(31))).isEqualTo(new Census.Share(0, 2));
+        List<Member> less =
+                List.of(member("a", State.DEAD), member("c", State.ALIVE), member("d", State.LEFT));
+        assertThat(census.count(less, Instant.EPOCH.plusSeconds(29)))
+                .isEqualTo(new Census.Share(1, 3));
+        assertThat(census.count(less, Instant.EPOCH.plusSeconds(31)))
+                .isEqualTo(new Census.Share(0, 2));
     }
 
     private static Member member(String name, State state) {
@@ -234,8 +330,14 @@
 
     /** Numbers as they come, and which of them are fresh. */
     @ParameterizedTest
-    @CsvSource({"'1,2,3', FFF", "'1,1,2,2', FRFR", "'5,3,4,3', FFFR", "'100,36,37,37', FRFR", "'0,-1', RR",
-        "'9223372036854775807,1', FR"})
+    @CsvSource({
+        "'1,2,3', FFF",
+        "'1,1,2,2', FRFR",
+        "'5,3,4,3', FFFR",
+        "'100,36,37,37', FRFR",
+        "'0,-1', RR",
+        "'9223372036854775807,1', FR"
+    })
     void numberCountsOnceWithinTheWindow(String numbers, String verdicts) {
         ReplayGuard guard = new ReplayGuard(8);
         InetSocketAddress at = MemberNet.address(1);
--- a/src/test/java/cypressglade/nbd/NbdFrontTest.java
+++ b/src/test/java/cypressglade/nbd/NbdFrontTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cypressglade.core.Counters;
 import cypressglade.core.Counters.Name;
 import cypressglade.nbd.NbdConfig.Export;
 import cypressglade.nbd.NbdConfig.Extent;
-import cypressglade.core.Counters;
 import cypressglade.standin.NbdPeer;
 import cypressglade.standin.Site;
 import java.io.BufferedOutputStream;
@@ -48,10 +48,20 @@
     @BeforeEach
     void start() throws Exception {
         List<Extent> extents = List.of(new Extent(HALF, 0), new Extent(SIZE, 1));
-        site = new Site(List.of(first.hostPort(), second.hostPort()), Optional.of(new NbdConfig(
-                new InetSocketAddress("127.0.0.1", 0), 0, 1, 16384, 1,
-                List.of(new Export("disk", 0xa1, 1, SIZE, extents), new Export("small", 0xa2, 0, SIZE, extents)),
-                Map.of("s-0", first.address(), "s-1", second.address()))));
+        site =
+                new Site(
+                        List.of(first.hostPort(), second.hostPort()),
+                        Optional.of(
+                                new NbdConfig(
+                                        new InetSocketAddress("127.0.0.1", 0),
+                                        0,
+                                        1,
+                                        16384,
+                                        1,
+                                        List.of(
+                                                new Export("disk", 0xa1, 1, SIZE, extents),
+                                                new Export("small", 0xa2, 0, SIZE, extents)),
+                                        Map.of("s-0", first.address(), "s-1", second.address()))));
     }
 
     @AfterEach
@@ -128,14 +138,18 @@
         /** The error of the next reply, which must be the whole one for the last command. */
         int reply(byte[] into) throws IOException {
             int error;
-            assertThat(in.readInt()).isEqualTo(structured ? Nbd.STRUCTURED_REPLY_MAGIC : Nbd.SIMPLE_REPLY_MAGIC);
+            assertThat(in.readInt())
+                    .isEqualTo(structured ? Nbd.STRUCTURED_REPLY_MAGIC : Nbd.SIMPLE_REPLY_MAGIC);
             if (structured) {
                 assertThat(in.readShort()).isEqualTo((short) Nbd.REPLY_FLAG_DONE);
                 int type = in.readUnsignedShort();
                 assertThat(in.readLong()).isEqualTo(cookie);
                 int length = in.readInt();
-                assertThat(length).isEqualTo(type == Nbd.REPLY_NONE ? 0
-                        : type == Nbd.REPLY_ERROR ? 6 : 8 + into.length);
+                assertThat(length)
+                        .isEqualTo(
+                                type == Nbd.REPLY_NONE
+                                        ? 0
+                                        : type == Nbd.REPLY_ERROR ? 6 : 8 + into.length);
                 error = type == Nbd.REPLY_ERROR ? in.readInt() : 0;
                 in.skipNBytes(type == Nbd.REPLY_ERROR ? 2 : type == Nbd.REPLY_NONE ? 0 : 8);
             } else {
@@ -186,7 +200,8 @@
             assertThat(client.reply(back)).isZero();
         }
         assertThat(back).isEqualTo(data);
-        assertThat(Arrays.copyOfRange(first.disk, HALF - 30_000, HALF)).isEqualTo(Arrays.copyOf(data, 30_000));
+        assertThat(Arrays.copyOfRange(first.disk, HALF - 30_000, HALF))
+                .isEqualTo(Arrays.copyOf(data, 30_000));
         assertThat(Arrays.copyOfRange(second.disk, HALF, HALF + 70_000))
                 .isEqualTo(Arrays.copyOfRange(data, 30_000, 100_000));
     }
@@ -200,7 +215,8 @@
             assertThat(client.option(Nbd.OPT_LIST, "x")).isEqualTo(Nbd.REP_ERR_INVALID);
             assertThat(client.option(Nbd.OPT_INFO, named("disk"))).isEqualTo(Nbd.REP_ACK);
             assertThat(client.option(Nbd.OPT_GO, named("none"))).isEqualTo(Nbd.REP_ERR_UNKNOWN);
-            assertThat(client.option(Nbd.OPT_GO, "\0\0\0\u00ffdisk\0\0")).isEqualTo(Nbd.REP_ERR_INVALID);
+            assertThat(client.option(Nbd.OPT_GO, "\0\0\0\u00ffdisk\0\0"))
+                    .isEqualTo(Nbd.REP_ERR_INVALID);
             assertThat(client.option(Nbd.OPT_GO, "x".repeat(8000))).isEqualTo(Nbd.REP_ERR_TOO_BIG);
             assertThat(client.option(Nbd.OPT_ABORT, "")).isEqualTo(Nbd.REP_ACK);
             client.assertClosed();
@@ -208,14 +224,25 @@
         try (Client client = new Client()) {
             client.send(Nbd.OPT_EXPORT_NAME, "disk");
             assertThat(client.in.readLong()).isEqualTo(SIZE);
-            assertThat(client.in.readShort()).isEqualTo((short) (Nbd.FLAG_HAS_FLAGS | Nbd.FLAG_SEND_FLUSH));
+            assertThat(client.in.readShort())
+                    .isEqualTo((short) (Nbd.FLAG_HAS_FLAGS | Nbd.FLAG_SEND_FLUSH));
             assertThat(client.command(Nbd.CMD_READ, 0, 512)).isZero();
         }
     }
 
     @ParameterizedTest
-    @CsvSource({"0, 1048000, 1000, 22", "1, 1048000, 1000, 28", "0, -1, 1, 22", "0, 0, 0, 22", "0, 0, 131073, 22",
-        "1, 0, 131073, 22", "4, 0, 512, 95", "6, 0, 512, 95", "9, 0, 0, 95", "3, 1, 0, 22"})
+    @CsvSource({
+        "0, 1048000, 1000, 22",
+        "1, 1048000, 1000, 28",
+        "0, -1, 1, 22",
+        "0, 0, 0, 22",
+        "0, 0, 131073, 22",
+        "1, 0, 131073, 22",
+        "4, 0, 512, 95",
+        "6, 0, 512, 95",
+        "9, 0, 0, 95",
+        "3, 1, 0, 22"
+    })
     void badCommandsGetTheirErrorAndTheNextIsServed(int type, long offset, int length, int error)
             throws Exception {
         try (Client client = new Client().go("disk", true)) {
@@ -227,17 +254,21 @@
 
     @Test
     void writeWhoseReplyStallsHalfwayIsNotReplayedAndGetsOneErrorInTime() throws Exception {
-        first.script = (peer, command, out) -> {
-            NbdPeer.chunk(command, 0, 0, 0, out); // a whole chunk that is not the last, and half of the next
-            out.writeInt(0x668e33ef);
-            out.flush();
-        };
+        first.script =
+                (peer, command, out) -> {
+                    NbdPeer.chunk(
+                            command, 0, 0, 0,
+                            out); // a whole chunk that is not the last, and half of the next
+                    out.writeInt(0x668e33ef);
+                    out.flush();
+                };
         try (Client client = new Client().go("disk", true)) {
             Instant sent = Instant.now();
             assertThat(client.command(WRITE, 0, 512)).isEqualTo(Nbd.EIO);
             // The deadline is 0.7 s; a busy machine may see the reply later than it came.
             assertThat(Duration.between(sent, Instant.now())).isLessThan(Duration.ofSeconds(2));
-            assertThat(client.command(Nbd.CMD_READ, HALF, 512)).isZero(); // the very next reply: there was one
+            assertThat(client.command(Nbd.CMD_READ, HALF, 512))
+                    .isZero(); // the very next reply: there was one
         }
         assertThat(first.commands).hasSize(1);
         assertThat(site.serve.counters().get(Name.ENDED_TIMEOUT)).isEqualTo(1);
@@ -246,9 +277,10 @@
 
     @Test
     void writeLostWithItsConnectionIsNotReplayed() throws Exception {
-        first.script = (peer, command, out) -> {
-            throw new IOException("lost");
-        };
+        first.script =
+                (peer, command, out) -> {
+                    throw new IOException("lost");
+                };
         try (Client client = new Client().go("disk", true)) {
             assertThat(client.command(WRITE, 0, 512)).isEqualTo(Nbd.EIO);
         }
@@ -263,7 +295,8 @@
             assertThat(client.command(WRITE, 0, 512)).isEqualTo(Nbd.ESHUTDOWN);
             assertThat(client.command(Nbd.CMD_READ, HALF, 512)).isZero();
             try (Client late = new Client()) {
-                assertThat(late.option(Nbd.OPT_INFO, named("disk"))).isEqualTo(Nbd.REP_ERR_SHUTDOWN);
+                assertThat(late.option(Nbd.OPT_INFO, named("disk")))
+                        .isEqualTo(Nbd.REP_ERR_SHUTDOWN);
                 assertThat(late.option(Nbd.OPT_GO, named("disk"))).isEqualTo(Nbd.REP_ERR_SHUTDOWN);
                 late.send(Nbd.OPT_EXPORT_NAME, "disk");
                 late.assertClosed();
@@ -277,13 +310,16 @@
     void drainToldDuringTheHandshakeWithTheNodeSendsNothing() throws Exception {
         CountDownLatch told = new CountDownLatch(1);
         CountDownLatch inHandshake = new CountDownLatch(1);
-        // The read makes the node known, so that no probe comes first; the other export has its own connection.
-        try (Client known = new Client().go("disk", true); Client client = new Client().go("small", true)) {
+        // The read makes the node known, so that no probe comes first; the other export has its own
+        // connection.
+        try (Client known = new Client().go("disk", true);
+                Client client = new Client().go("small", true)) {
             assertThat(known.command(Nbd.CMD_READ, 0, 512)).isZero();
-            first.beforeGo = () -> {
-                inHandshake.countDown();
-                told.await();
-            };
+            first.beforeGo =
+                    () -> {
+                        inHandshake.countDown();
+                        told.await();
+                    };
             client.request(WRITE, 0, 512, new byte[512]);
             assertThat(inHandshake.await(5, TimeUnit.SECONDS)).isTrue();
             site.tell(42, 0, first.hostPort(), "leaving");
@@ -294,18 +330,33 @@
         assertThat(first.commands).hasSize(1);
     }
 
-    /** Guards against a command that begins behind its client's disconnect, while a node's connection comes up. */
+    /**
+     * Guards against a command that begins behind its client's disconnect, while a node's
+     * connection comes up.
+     */
     @Test
     void aClientThatLeavesDuringTheHandshakeWithTheNodeGetsNothingBegun() throws Exception {
-        try (Client known = new Client().go("disk", true); Client client = new Client().go("small", true)) {
+        try (Client known = new Client().go("disk", true);
+                Client client = new Client().go("small", true)) {
             assertThat(known.command(Nbd.CMD_READ, 0, 512)).isZero();
-            first.beforeGo = () -> {
-                client.socket.close();
-                site.ask(Site.request("GET", "/healthz", "", "")); // whose way is longer: the end was read before
-            };
+            first.beforeGo =
+                    () -> {
+                        client.socket.close();
+                        site.ask(
+                                Site.request(
+                                        "GET",
+                                        "/healthz",
+                                        "",
+                                        "")); // whose way is longer: the end was read before
+                    };
             client.request(WRITE, 0, 512, new byte[512]);
-            Site.await(() -> site.serve.counters().get(Counters.Name.ENDED_MOOT)
-                    + site.serve.counters().get(Counters.Name.ENDED_CONNECT_FAILED) == 1);
+            Site.await(
+                    () ->
+                            site.serve.counters().get(Counters.Name.ENDED_MOOT)
+                                            + site.serve
+                                                    .counters()
+                                                    .get(Counters.Name.ENDED_CONNECT_FAILED)
+                                    == 1);
         }
         assertThat(first.commands).hasSize(1);
     }
@@ -314,13 +365,14 @@
     void stoppingSchedulerTurnsHandshakesAwayThenCommands() throws Exception {
         try (Client client = new Client().go("disk", true)) {
             CompletableFuture<Void> stopped = site.drain();
-            Site.await(() -> {
-                try (Client late = new Client()) {
-                    return late.option(Nbd.OPT_GO, named("disk")) == Nbd.REP_ERR_SHUTDOWN;
-                } catch (IOException failed) {
-                    return false;
-                }
-            });
+            Site.await(
+                    () -> {
+                        try (Client late = new Client()) {
+                            return late.option(Nbd.OPT_GO, named("disk")) == Nbd.REP_ERR_SHUTDOWN;
+                        } catch (IOException failed) {
+                            return false;
+                        }
+                    });
             stopped.get(5, TimeUnit.SECONDS);
             assertThat(client.command(Nbd.CMD_READ, 0, 512)).isEqualTo(Nbd.ESHUTDOWN);
         }
@@ -351,14 +403,21 @@
             assertThat(client.command(Nbd.CMD_FLUSH, 0, 0)).isZero();
         }
         assertThat(first.commands).isEmpty();
-        assertThat(second.commands).extracting(NbdPeer.Command::type).containsExactly(WRITE, Nbd.CMD_FLUSH);
+        assertThat(second.commands)
+                .extracting(NbdPeer.Command::type)
+                .containsExactly(WRITE, Nbd.CMD_FLUSH);
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"garbage garbage garbage garbage garbage", "%\u0060\u0095\u0013\0\0\0\1short",
-        "%\u0060\u0095\u0013\0\0\0\1cookie00\0\0\0\0\0\0\0\0\u00ff\u00ff\u00ff\u00ff"})
+    @ValueSource(
+            strings = {
+                "garbage garbage garbage garbage garbage",
+                "%\u0060\u0095\u0013\0\0\0\1short",
+                "%\u0060\u0095\u0013\0\0\0\1cookie00\0\0\0\0\0\0\0\0\u00ff\u00ff\u00ff\u00ff"
+            })
     void brokenClientLosesItsConnectionAlone(String bytes) throws Exception {
-        try (Client other = new Client().go("disk", true); Client broken = new Client().go("disk", true)) {
+        try (Client other = new Client().go("disk", true);
+                Client broken = new Client().go("disk", true)) {
             broken.out.write(bytes.getBytes(StandardCharsets.ISO_8859_1));
             broken.out.flush();
             broken.socket.shutdownOutput();
@@ -368,7 +427,13 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"garbage", "", "IHAVEOPT\0\0\0\7\u007f\u00ff\u00ff\u00ff", "IHAVEOPT\0\0\0\7\0\0"})
+    @ValueSource(
+            strings = {
+                "garbage",
+                "",
+                "IHAVEOPT\0\0\0\7\u007f\u00ff\u00ff\u00ff",
+                "IHAVEOPT\0\0\0\7\0\0"
+            })
     void brokenHandshakeEnds(String bytes) throws Exception {
         try (Client broken = new Client()) {
             broken.out.write(bytes.getBytes(StandardCharsets.ISO_8859_1));
--- a/src/test/java/cypressglade/nbd/ReplyParserTest.java
+++ b/src/test/java/cypressglade/nbd/ReplyParserTest.java
@@ -18,12 +18,21 @@
     private static final String SIMPLE = "67446698 %s 0000000000000007 ";
     private static final String CHUNK = "668e33ef %s %s 0000000000000007 ";
 
-    private final ReplyParser parser = new ReplyParser(NbdWork.read(
-            new NbdConfig.Export("disk", 1, 0, 64, List.of(new NbdConfig.Extent(64, 0))), 16, 4), 7);
+    private final ReplyParser parser =
+            new ReplyParser(
+                    NbdWork.read(
+                            new NbdConfig.Export(
+                                    "disk", 1, 0, 64, List.of(new NbdConfig.Extent(64, 0))),
+                            16,
+                            4),
+                    7);
 
     private static ByteBuffer bytes(String text) {
-        String hex = text.replace("S0", SIMPLE.formatted("00000000")).replace("S5", SIMPLE.formatted("00000005"))
-                .replace("DONE ", CHUNK.formatted("0001", "%")).replace("MORE ", CHUNK.formatted("0000", "%"));
+        String hex =
+                text.replace("S0", SIMPLE.formatted("00000000"))
+                        .replace("S5", SIMPLE.formatted("00000005"))
+                        .replace("DONE ", CHUNK.formatted("0001", "%"))
+                        .replace("MORE ", CHUNK.formatted("0000", "%"));
         for (String type : List.of("8001", "8002", "0000", "0001", "0002", "0009")) {
             hex = hex.replaceAll("%( 0000000000000007 )=" + type, type + "$1");
         }
@@ -31,7 +40,10 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', textBlock = """
+    @CsvSource(
+            delimiter = '|',
+            textBlock =
+                    """
             S0 0a0b0c0d | OK | 0a0b0c0d
             S5 | ERROR | 00000000
             DONE =0001 0000000c 0000000000000010 0a0b0c0d | OK | 0a0b0c0d
@@ -41,7 +53,8 @@
             DONE =8001 00000006 00000005 0000 | ERROR | 00000000
             MORE =8002 00000010 00000005 0002 6f6f 0000000000000010 DONE =0000 00000000 | ERROR | 00000000
             """)
-    void wholeReplyIsReadHoweverItIsSplit(String text, Status status, String data) throws IOException {
+    void wholeReplyIsReadHoweverItIsSplit(String text, Status status, String data)
+            throws IOException {
         ByteBuffer all = bytes(text);
         while (all.remaining() > 1) {
             assertThat(parser.feed(all.slice(all.position(), 1))).isEmpty();
@@ -52,13 +65,23 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"12345678", "67446698 00000000 0000000000000008",
-        "DONE =0001 0000000c 0000000000000011 0a0b0c0d", "DONE =0001 0000000c 000000000000000f 0a0b0c0d",
-        "DONE =0001 7fffffff", "DONE =0001 ffffffff", "DONE =0001 00000008 0000000000000010",
-        "DONE =0002 0000000c 0000000000000010 ffffffff", "DONE =0002 0000000c 0000000000000010 00000005",
-        "MORE =0001 0000000a 0000000000000010 0a0b MORE =0001 0000000a 0000000000000011 0a0b",
-        "DONE =0001 0000000a 0000000000000010 0a0b", "DONE =0000 00000000", "DONE =0000 00000001 00",
-        "DONE =0009 00000000"})
+    @ValueSource(
+            strings = {
+                "12345678",
+                "67446698 00000000 0000000000000008",
+                "DONE =0001 0000000c 0000000000000011 0a0b0c0d",
+                "DONE =0001 0000000c 000000000000000f 0a0b0c0d",
+                "DONE =0001 7fffffff",
+                "DONE =0001 ffffffff",
+                "DONE =0001 00000008 0000000000000010",
+                "DONE =0002 0000000c 0000000000000010 ffffffff",
+                "DONE =0002 0000000c 0000000000000010 00000005",
+                "MORE =0001 0000000a 0000000000000010 0a0b MORE =0001 0000000a 0000000000000011 0a0b",
+                "DONE =0001 0000000a 0000000000000010 0a0b",
+                "DONE =0000 00000000",
+                "DONE =0000 00000001 00",
+                "DONE =0009 00000000"
+            })
     void garbageIsReported(String text) {
         assertThatThrownBy(() -> parser.feed(bytes(text))).isInstanceOf(IOException.class);
     }
