--- a/src/test/java/cypressglade/net/NodePoolTest.java
+++ b/src/test/java/cypressglade/net/NodePoolTest.java
@@ -40,64 +40,68 @@
     private volatile boolean wanted = true;
     private final NodeDirectory directory = new NodeDirectory();
     private final CountDownLatch nodeSawTheEnd = new CountDownLatch(1);
-    private final StandIn node = new StandIn() {
-        @Override
-        protected void talk(DataInputStream in, DataOutputStream out) throws Exception {
-            for (int next = in.read(); next >= 0; next = in.read()) {
-                bytes.incrementAndGet();
-                out.write(next);
-                out.flush();
-            }
-            nodeSawTheEnd.countDown();
-        }
-    };
+    private final StandIn node =
+            new StandIn() {
+                @Override
+                protected void talk(DataInputStream in, DataOutputStream out) throws Exception {
+                    for (int next = in.read(); next >= 0; next = in.read()) {
+                        bytes.incrementAndGet();
+                        out.write(next);
+                        out.flush();
+                    }
+                    nodeSawTheEnd.countDown();
+                }
+            };
 
     private Ending exchange(NodePool pool, long number, Duration time, Consumer<Runnable> prepares)
             throws Exception {
         CompletableFuture<Ending> ended = new CompletableFuture<>();
-        NodePool.Exchange exchange = pool.new Exchange(number, Time.now().plus(time), () -> wanted, ended::complete) {
-            @Override
-            protected void prepare(Wire fresh, Runnable ready, Runnable unusable) {
-                prepares.accept(ready);
-            }
+        NodePool.Exchange exchange =
+                pool.new Exchange(number, Time.now().plus(time), () -> wanted, ended::complete) {
+                    @Override
+                    protected void prepare(Wire fresh, Runnable ready, Runnable unusable) {
+                        prepares.accept(ready);
+                    }
 
-            @Override
-            protected Optional<InetSocketAddress> address(NodeDirectory.Known known) {
-                return Optional.of(known.address());
-            }
+                    @Override
+                    protected Optional<InetSocketAddress> address(NodeDirectory.Known known) {
+                        return Optional.of(known.address());
+                    }
 
-            @Override
-            protected List<ByteBuffer> message(Duration left) {
-                return List.of(ByteBuffer.wrap(new byte[] {7}));
-            }
+                    @Override
+                    protected List<ByteBuffer> message(Duration left) {
+                        return List.of(ByteBuffer.wrap(new byte[] {7}));
+                    }
 
-            @Override
-            protected Optional<Status> read(ByteBuffer in) {
-                in.position(in.limit());
-                return Optional.of(Status.OK);
-            }
+                    @Override
+                    protected Optional<Status> read(ByteBuffer in) {
+                        in.position(in.limit());
+                        return Optional.of(Status.OK);
+                    }
 
-            @Override
-            protected boolean reusable() {
-                return true;
-            }
+                    @Override
+                    protected boolean reusable() {
+                        return true;
+                    }
 
-            @Override
-            protected byte[] answer() {
-                return new byte[0];
-            }
-        };
+                    @Override
+                    protected byte[] answer() {
+                        return new byte[0];
+                    }
+                };
         exchange.start();
         return ended.get(5, TimeUnit.SECONDS);
     }
 
     @Test
     void idleConnectionIsClosedWellBeforeTheNodesLimitAndUnknownNodesGetNothing() throws Exception {
-        try (node; Loop loop = new Loop()) {
+        try (node;
+                Loop loop = new Loop()) {
             NodePool pool = pool(loop);
             assertThat(exchange(pool, 1, LONG, Runnable::run).status()).isEqualTo(Status.OK);
             assertThat(nodeSawTheEnd.await(5, TimeUnit.SECONDS)).isTrue();
-            assertThat(exchange(pool, 2, LONG, Runnable::run).status()).isEqualTo(Status.CONNECT_FAILED);
+            assertThat(exchange(pool, 2, LONG, Runnable::run).status())
+                    .isEqualTo(Status.CONNECT_FAILED);
             assertThat(node.connections).hasValue(1);
         }
     }
@@ -105,41 +109,70 @@
     /** Guards against a node being taken for dead when it was the request whose time ran out. */
     @Test
     void slowConnectionSpeaksOfTheNodeOnlyWhereTheRequestHadTime() throws Exception {
-        try (node; Loop loop = new Loop()) {
+        try (node;
+                Loop loop = new Loop()) {
             NodePool pool = pool(loop);
-            assertThat(exchange(pool, 1, Duration.ofMillis(20), ready -> { }).status()).isEqualTo(Status.MOOT);
-            assertThat(exchange(pool, 1, LONG, ready -> { }).status()).isEqualTo(Status.CONNECT_FAILED);
+            assertThat(exchange(pool, 1, Duration.ofMillis(20), ready -> {}).status())
+                    .isEqualTo(Status.MOOT);
+            assertThat(exchange(pool, 1, LONG, ready -> {}).status())
+                    .isEqualTo(Status.CONNECT_FAILED);
         }
     }
 
-    /** Guards against a slow connection carrying work to a node that was told to drain meanwhile. */
+    /**
+     * Guards against a slow connection carrying work to a node that was told to drain meanwhile.
+     */
     @Test
     void drainToldWhileAConnectionComesUpHoldsTheRequestBack() throws Exception {
-        try (node; Loop loop = new Loop()) {
+        try (node;
+                Loop loop = new Loop()) {
             NodePool pool = pool(loop);
-            assertThat(exchange(pool, 1, LONG, ready -> {
-                tell(State.DRAINING);
-                ready.run();
-            }).status()).isEqualTo(Status.CONNECT_FAILED);
+            assertThat(
+                            exchange(
+                                            pool,
+                                            1,
+                                            LONG,
+                                            ready -> {
+                                                tell(State.DRAINING);
+                                                ready.run();
+                                            })
+                                    .status())
+                    .isEqualTo(Status.CONNECT_FAILED);
             assertThat(nodeSawTheEnd.await(5, TimeUnit.SECONDS)).isTrue();
             assertThat(bytes).hasValue(0);
         }
     }
 
-    /** Guards against a slow connection carrying a request whose client has left, or to where the node was. */
+    /**
+     * Guards against a slow connection carrying a request whose client has left, or to where the
+     * node was.
+     */
     @ParameterizedTest
     @CsvSource({"true,MOOT", "false,CONNECT_FAILED"})
-    void whatChangesWhileAConnectionComesUpHoldsTheRequestBack(boolean clientLeaves, Status status) throws Exception {
-        try (node; Loop loop = new Loop()) {
+    void whatChangesWhileAConnectionComesUpHoldsTheRequestBack(boolean clientLeaves, Status status)
+            throws Exception {
+        try (node;
+                Loop loop = new Loop()) {
             NodePool pool = pool(loop);
-            assertThat(exchange(pool, 1, LONG, ready -> {
-                if (clientLeaves) {
-                    wanted = false;
-                } else {
-                    tell(State.READY, new InetSocketAddress(node.address().getAddress(), 1));
-                }
-                ready.run();
-            }).status()).isEqualTo(status);
+            assertThat(
+                            exchange(
+                                            pool,
+                                            1,
+                                            LONG,
+                                            ready -> {
+                                                if (clientLeaves) {
+                                                    wanted = false;
+                                                } else {
+                                                    tell(
+                                                            State.READY,
+                                                            new InetSocketAddress(
+                                                                    node.address().getAddress(),
+                                                                    1));
+                                                }
+                                                ready.run();
+                                            })
+                                    .status())
+                    .isEqualTo(status);
             assertThat(nodeSawTheEnd.await(5, TimeUnit.SECONDS)).isTrue();
             assertThat(bytes).hasValue(0);
         }
@@ -148,49 +181,87 @@
     /** A request that nobody waits for opens no connection. */
     @Test
     void whatIsNotWantedIsNotDialled() throws Exception {
-        try (node; Loop loop = new Loop()) {
+        try (node;
+                Loop loop = new Loop()) {
             wanted = false;
-            assertThat(exchange(pool(loop), 1, LONG, Runnable::run).status()).isEqualTo(Status.MOOT);
+            assertThat(exchange(pool(loop), 1, LONG, Runnable::run).status())
+                    .isEqualTo(Status.MOOT);
             assertThat(node.connections).hasValue(0);
         }
     }
 
-    /** Guards against a write on a connection to the process before, which may have died without a word. */
+    /**
+     * Guards against a write on a connection to the process before, which may have died without a
+     * word.
+     */
     @Test
     void idleConnectionFromBeforeTheNodesStartIsNotUsed() throws Exception {
-        try (node; Loop loop = new Loop()) {
+        try (node;
+                Loop loop = new Loop()) {
             tell(State.READY);
-            NodePool pool = new NodePool(loop, directory, new Counters(), Duration.ofMillis(250),
-                    Duration.ofMinutes(1), 4);
+            NodePool pool =
+                    new NodePool(
+                            loop,
+                            directory,
+                            new Counters(),
+                            Duration.ofMillis(250),
+                            Duration.ofMinutes(1),
+                            4);
             assertThat(exchange(pool, 1, LONG, Runnable::run).status()).isEqualTo(Status.OK);
             assertThat(exchange(pool, 1, LONG, Runnable::run).status()).isEqualTo(Status.OK);
             assertThat(node.connections).hasValue(1);
-            directory.update(new NodeList(2, true, List.of(new NodeList.Entry("s-0", node.address(), 0, 0, 0,
-                    State.READY, 1, Time.now()))));
+            directory.update(
+                    new NodeList(
+                            2,
+                            true,
+                            List.of(
+                                    new NodeList.Entry(
+                                            "s-0",
+                                            node.address(),
+                                            0,
+                                            0,
+                                            0,
+                                            State.READY,
+                                            1,
+                                            Time.now()))));
             assertThat(exchange(pool, 1, LONG, Runnable::run).status()).isEqualTo(Status.OK);
             assertThat(node.connections).hasValue(2);
         }
     }
 
-    /** Guards against connections that outlive their node, as descriptors of ours and as room of the node's. */
+    /**
+     * Guards against connections that outlive their node, as descriptors of ours and as room of the
+     * node's.
+     */
     @Test
     void idleConnectionGoesWithItsNode() throws Exception {
-        try (node; Loop loop = new Loop()) {
+        try (node;
+                Loop loop = new Loop()) {
             tell(State.READY);
-            NodePool pool = new NodePool(loop, directory, new Counters(), Duration.ofMillis(250),
-                    Duration.ofMinutes(1), 4);
+            NodePool pool =
+                    new NodePool(
+                            loop,
+                            directory,
+                            new Counters(),
+                            Duration.ofMillis(250),
+                            Duration.ofMinutes(1),
+                            4);
             assertThat(exchange(pool, 1, LONG, Runnable::run).status()).isEqualTo(Status.OK);
             tell(State.GONE);
             assertThat(nodeSawTheEnd.await(5, TimeUnit.SECONDS)).isTrue();
         }
     }
 
-    /** Guards against waiting on a machine that is cut off: a full backlog swallows connections as it does. */
+    /**
+     * Guards against waiting on a machine that is cut off: a full backlog swallows connections as
+     * it does.
+     */
     @Test
     void connectionThatNeverComesUpEndsByItsLimit() throws Exception {
         List<Socket> fillers = new ArrayList<>();
-        try (node; Loop loop = new Loop(); ServerSocket deaf = new ServerSocket(0, 1,
-                InetAddress.getLoopbackAddress())) {
+        try (node;
+                Loop loop = new Loop();
+                ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             InetSocketAddress address = (InetSocketAddress) deaf.getLocalSocketAddress();
             try {
                 while (fillers.size() < 20) {
@@ -201,7 +272,8 @@
             } catch (SocketTimeoutException full) {
                 NodePool pool = pool(loop);
                 tell(State.READY, address);
-                assertThat(exchange(pool, 1, LONG, Runnable::run).status()).isEqualTo(Status.CONNECT_FAILED);
+                assertThat(exchange(pool, 1, LONG, Runnable::run).status())
+                        .isEqualTo(Status.CONNECT_FAILED);
             }
         } finally {
             for (Socket filler : fillers) {
@@ -215,12 +287,18 @@
     }
 
     private void tell(State state, InetSocketAddress address) {
-        directory.update(new NodeList(1, true, List.of(new NodeList.Entry("s-0", address, 0, 0, 0, state, 1,
-                Instant.EPOCH))));
+        directory.update(
+                new NodeList(
+                        1,
+                        true,
+                        List.of(
+                                new NodeList.Entry(
+                                        "s-0", address, 0, 0, 0, state, 1, Instant.EPOCH))));
     }
 
     private NodePool pool(Loop loop) {
         tell(State.READY);
-        return new NodePool(loop, directory, new Counters(), Duration.ofMillis(250), Duration.ofMillis(200), 4);
+        return new NodePool(
+                loop, directory, new Counters(), Duration.ofMillis(250), Duration.ofMillis(200), 4);
     }
 }
--- a/src/test/java/cypressglade/operate/DoorTest.java
+++ b/src/test/java/cypressglade/operate/DoorTest.java
@@ -13,53 +13,60 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** The operators' door: bans by exact id that hold over restarts and lists, and calls that are read strictly. */
+/**
+ * The operators' door: bans by exact id that hold over restarts and lists, and calls that are read
+ * strictly.
+ */
 class DoorTest {
     private static final InetSocketAddress AT = new InetSocketAddress("127.0.0.1", 1);
 
     private final Map<String, State> seen = new LinkedHashMap<>();
-    private final HandDrains drains = new HandDrains(list -> {
-        if (list.full()) {
-            seen.clear();
-        }
-        list.entries().forEach(entry -> seen.put(entry.id(), entry.state()));
-        seen.values().removeIf(state -> state == State.GONE);
-    });
+    private final HandDrains drains =
+            new HandDrains(
+                    list -> {
+                        if (list.full()) {
+                            seen.clear();
+                        }
+                        list.entries().forEach(entry -> seen.put(entry.id(), entry.state()));
+                        seen.values().removeIf(state -> state == State.GONE);
+                    });
     private boolean started;
     private int evacuations;
     private int activations;
     private Optional<String> fleet = Optional.empty();
-    private final Door door = new Door(new Door.Acts() {
-        @Override
-        public boolean takesClients() {
-            return started;
-        }
-
-        @Override
-        public HandDrains.Result exclude(String node) {
-            return drains.exclude(node);
-        }
-
-        @Override
-        public HandDrains.Result include(String node) {
-            return drains.include(node);
-        }
-
-        @Override
-        public void evacuate() {
-            evacuations++;
-        }
-
-        @Override
-        public void activate() {
-            activations++;
-        }
-
-        @Override
-        public Optional<String> fleet() {
-            return fleet;
-        }
-    });
+    private final Door door =
+            new Door(
+                    new Door.Acts() {
+                        @Override
+                        public boolean takesClients() {
+                            return started;
+                        }
+
+                        @Override
+                        public HandDrains.Result exclude(String node) {
+                            return drains.exclude(node);
+                        }
+
+                        @Override
+                        public HandDrains.Result include(String node) {
+                            return drains.include(node);
+                        }
+
+                        @Override
+                        public void evacuate() {
+                            evacuations++;
+                        }
+
+                        @Override
+                        public void activate() {
+                            activations++;
+                        }
+
+                        @Override
+                        public Optional<String> fleet() {
+                            return fleet;
+                        }
+                    });
 
     private static Entry entry(String id, State state, long startedS) {
         return new Entry(id, AT, 0, 0, 0, state, 1, Instant.ofEpochSecond(startedS));
@@ -103,9 +110,13 @@
         tell(true, entry("s-1", State.READY, 5), entry("s-2", State.READY, 5));
         door.answer("exclude s-1");
         tell(false, entry("s-1", State.GONE, 5));
-        assertThat(door.answer("exclude s-1")).as("the second call while it is away").startsWith("200 ");
+        assertThat(door.answer("exclude s-1"))
+                .as("the second call while it is away")
+                .startsWith("200 ");
         tell(true, entry("s-1", State.READY, 9), entry("s-2", State.READY, 5));
-        assertThat(seen).as("back cold with a later start, still out").containsEntry("s-1", State.DRAINING);
+        assertThat(seen)
+                .as("back cold with a later start, still out")
+                .containsEntry("s-1", State.DRAINING);
         door.answer("include s-1");
         assertThat(seen).containsEntry("s-1", State.READY);
     }
--- a/src/test/java/cypressglade/operate/HandDrainsTest.java
+++ b/src/test/java/cypressglade/operate/HandDrainsTest.java
@@ -21,23 +21,28 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Drains by hand: they act once, hold against the sources, and end with the run that they were for. */
+/**
+ * Drains by hand: they act once, hold against the sources, and end with the run that they were for.
+ */
 class HandDrainsTest {
     private static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
     private static final InetSocketAddress AT = new InetSocketAddress("127.0.0.1", 1);
 
     /** What the module and the directory hold, made of what was handed on. */
     private final Map<String, State> seen = new LinkedHashMap<>();
+
     private int handedOn;
     private int orders;
-    private final HandDrains drains = new HandDrains(list -> {
-        handedOn++;
-        if (list.full()) {
-            seen.clear();
-        }
-        list.entries().forEach(entry -> seen.put(entry.id(), entry.state()));
-        seen.values().removeIf(state -> state == State.GONE);
-    });
+    private final HandDrains drains =
+            new HandDrains(
+                    list -> {
+                        handedOn++;
+                        if (list.full()) {
+                            seen.clear();
+                        }
+                        list.entries().forEach(entry -> seen.put(entry.id(), entry.state()));
+                        seen.values().removeIf(state -> state == State.GONE);
+                    });
 
     private static Entry entry(String id, int cell, State state, long startedS) {
         return new Entry(id, AT, 0, 0, cell, state, 1, Instant.ofEpochSecond(startedS));
@@ -48,7 +53,11 @@
     }
 
     private void start() {
-        tell(true, entry("s-1", 0, State.READY, 5), entry("s-2", 0, State.READY, 5), entry("s-30", 1, State.READY, 5));
+        tell(
+                true,
+                entry("s-1", 0, State.READY, 5),
+                entry("s-2", 0, State.READY, 5),
+                entry("s-30", 1, State.READY, 5));
     }
 
     private Order order(String node, boolean force) {
@@ -68,13 +77,20 @@
         assertThat(drains.drain(order, NOW).kind()).isEqualTo(Kind.ALREADY);
         assertThat(drain("s-1")).isEqualTo(Kind.ALREADY);
         assertThat(drains.undrain(order("s-1", false)).kind()).isEqualTo(Kind.DONE);
-        assertThat(drains.drain(order, NOW).kind()).isEqualTo(Kind.ALREADY); // replayed after it was taken back
+        assertThat(drains.drain(order, NOW).kind())
+                .isEqualTo(Kind.ALREADY); // replayed after it was taken back
         assertThat(handedOn).isEqualTo(before + 1);
         assertThat(seen).containsEntry("s-1", State.READY);
     }
 
     @ParameterizedTest
-    @CsvSource({"s-3, DONE, s-30", "s, AMBIGUOUS, s", "x, UNKNOWN_NODE, x", "'', UNKNOWN_NODE, ''", "s-1, DONE, s-1"})
+    @CsvSource({
+        "s-3, DONE, s-30",
+        "s, AMBIGUOUS, s",
+        "x, UNKNOWN_NODE, x",
+        "'', UNKNOWN_NODE, ''",
+        "s-1, DONE, s-1"
+    })
     void nodesAreNamedByIdOrByABeginningThatFitsOne(String name, Kind kind, String node) {
         start();
         HandDrains.Result result = drains.drain(order(name, true), NOW);
@@ -86,19 +102,28 @@
     @Test
     void onlyNodeOfAShardAsksForForce() {
         start();
-        assertThat(drains.drain(order("s-30", false), NOW)).isEqualTo(new HandDrains.Result(Kind.ONLY_NODE, "s-30",
-                List.of("1")));
+        assertThat(drains.drain(order("s-30", false), NOW))
+                .isEqualTo(new HandDrains.Result(Kind.ONLY_NODE, "s-30", List.of("1")));
         assertThat(seen).containsEntry("s-30", State.READY);
         assertThat(drain("s-1")).isEqualTo(Kind.DONE);
         assertThat(drain("s-2")).isEqualTo(Kind.ONLY_NODE); // the other one is drained already
         assertThat(drains.drain(order("s-2", true), NOW).kind()).isEqualTo(Kind.DONE);
     }
 
-    /** Whatever the sources tell after: the state of s-1 as the module sees it, and whether the drain still holds. */
+    /**
+     * Whatever the sources tell after: the state of s-1 as the module sees it, and whether the
+     * drain still holds.
+     */
     @ParameterizedTest
-    @CsvSource({"READY, 5, DRAINING, true", "DRAINING, 5, DRAINING, true", "READY, 6, READY, false",
-        "GONE, 5, , false", "READY, 4, DRAINING, true"})
-    void drainHoldsForItsRunWhateverTheSourcesSay(State told, long startedS, State state, boolean holds) {
+    @CsvSource({
+        "READY, 5, DRAINING, true",
+        "DRAINING, 5, DRAINING, true",
+        "READY, 6, READY, false",
+        "GONE, 5, , false",
+        "READY, 4, DRAINING, true"
+    })
+    void drainHoldsForItsRunWhateverTheSourcesSay(
+            State told, long startedS, State state, boolean holds) {
         start();
         drain("s-1");
         for (boolean full : new boolean[] {false, true}) {
@@ -112,9 +137,11 @@
 
     @Test
     void drainsOutliveARestartAndShowWhatTheSourcesSayOnceTakenBack() {
-        drains.restore(List.of(new HandDrain("s-1", Instant.ofEpochSecond(5), "ann", NOW, "disk", true),
-                new HandDrain("s-8", Instant.ofEpochSecond(5), "ann", NOW, "", true),
-                new HandDrain("s-9", Instant.ofEpochSecond(5), "ann", NOW, "", true)));
+        drains.restore(
+                List.of(
+                        new HandDrain("s-1", Instant.ofEpochSecond(5), "ann", NOW, "disk", true),
+                        new HandDrain("s-8", Instant.ofEpochSecond(5), "ann", NOW, "", true),
+                        new HandDrain("s-9", Instant.ofEpochSecond(5), "ann", NOW, "", true)));
         start(); // a list that does not know s-8 and s-9 yet
         assertThat(seen).containsEntry("s-1", State.DRAINING);
         assertThat(drains.list()).hasSize(3);
@@ -131,8 +158,10 @@
     }
 
     private static NodeFact fact(String id, double outUnits, int held) {
-        return new NodeFact(new Known(id, AT, 0, State.DRAINING, Instant.EPOCH, Instant.EPOCH), new NodeView(1, 0, false, false, false, 0, 1, 0, 0, 0, 0,
-                -1, -1, outUnits, 0, held, 0));
+        return new NodeFact(
+                new Known(id, AT, 0, State.DRAINING, Instant.EPOCH, Instant.EPOCH),
+                new NodeView(
+                        1, 0, false, false, false, 0, 1, 0, 0, 0, 0, -1, -1, outUnits, 0, held, 0));
     }
 
     @Test
@@ -141,12 +170,17 @@
         drain("s-1");
         assertThat(drains.seen(List.of(fact("s-1", 2, 0), fact("s-2", 0, 0)))).isEmpty();
         assertThat(drains.seen(List.of(fact("s-1", 0, 1)))).isEmpty();
-        assertThat(drains.seen(List.of(fact("s-1", 0, 0)))).extracting(HandDrain::node).containsExactly("s-1");
+        assertThat(drains.seen(List.of(fact("s-1", 0, 0))))
+                .extracting(HandDrain::node)
+                .containsExactly("s-1");
         assertThat(drains.seen(List.of())).isEmpty();
         assertThat(drains.list()).allMatch(HandDrain::done);
     }
 
-    /** However lists and orders mix: what the module sees is the list as told, with what is drained by hand. */
+    /**
+     * However lists and orders mix: what the module sees is the list as told, with what is drained
+     * by hand.
+     */
     @Test
     void moduleSeesTheListAsToldUnderTheDrains() {
         SplittableRandom random = new SplittableRandom(9);
@@ -157,7 +191,8 @@
                 case 0 -> drains.drain(order(id, true), NOW);
                 case 1 -> drains.undrain(order(id, false));
                 default -> {
-                    Entry entry = entry(id, 0, State.values()[random.nextInt(3)], random.nextInt(3));
+                    Entry entry =
+                            entry(id, 0, State.values()[random.nextInt(3)], random.nextInt(3));
                     told.put(id, entry);
                     if (entry.state() == State.GONE) {
                         told.remove(id);
@@ -165,10 +200,14 @@
                     tell(false, entry);
                 }
             }
-            List<String> held = new ArrayList<>(drains.list().stream().map(HandDrain::node).toList());
+            List<String> held =
+                    new ArrayList<>(drains.list().stream().map(HandDrain::node).toList());
             assertThat(seen.keySet()).containsExactlyInAnyOrderElementsOf(told.keySet());
-            told.forEach((name, entry) -> assertThat(seen.get(name)).isEqualTo(
-                    held.contains(name) ? State.DRAINING : entry.state()));
+            told.forEach(
+                    (name, entry) ->
+                            assertThat(seen.get(name))
+                                    .isEqualTo(
+                                            held.contains(name) ? State.DRAINING : entry.state()));
         }
     }
 
@@ -176,18 +215,28 @@
     @Test
     void decisionsOfOneHoldAtAnother() {
         List<String[]> told = new ArrayList<>();
-        HandDrains there = new HandDrains(list -> { }, (subject, word) -> told.add(new String[] {subject, word}));
-        there.told(new NodeList(1, true, List.of(entry("s-1", 0, State.READY, 5), entry("s-2", 0, State.READY, 5))));
+        HandDrains there =
+                new HandDrains(
+                        list -> {}, (subject, word) -> told.add(new String[] {subject, word}));
+        there.told(
+                new NodeList(
+                        1,
+                        true,
+                        List.of(entry("s-1", 0, State.READY, 5), entry("s-2", 0, State.READY, 5))));
         there.exclude("s-1");
         there.drain(order("s-2", true), NOW);
         assertThat(there.exclude("s-9").kind()).isEqualTo(Kind.UNKNOWN_NODE);
-        assertThat(told).hasSize(2).allSatisfy(one -> assertThat(drains.rule(one[0], one[1], "m-1", NOW)).isTrue());
+        assertThat(told)
+                .hasSize(2)
+                .allSatisfy(one -> assertThat(drains.rule(one[0], one[1], "m-1", NOW)).isTrue());
         start();
         assertThat(seen).containsEntry("s-1", State.DRAINING).containsEntry("s-2", State.DRAINING);
         told.clear();
         there.include("s-1");
         there.undrain(order("s-2", false));
-        assertThat(told).hasSize(2).allSatisfy(one -> assertThat(drains.rule(one[0], one[1], "m-1", NOW)).isTrue());
+        assertThat(told)
+                .hasSize(2)
+                .allSatisfy(one -> assertThat(drains.rule(one[0], one[1], "m-1", NOW)).isTrue());
         assertThat(seen).containsEntry("s-1", State.READY).containsEntry("s-2", State.READY);
     }
 
--- a/src/test/java/cypressglade/peer/CodecTest.java
+++ b/src/test/java/cypressglade/peer/CodecTest.java
@@ -12,11 +12,11 @@
 import cypressglade.member.Message;
 import cypressglade.member.Message.Kind;
 import cypressglade.member.News;
+import cypressglade.peer.Sealed.Fault;
+import cypressglade.peer.Sealed.Refused;
 import cypressglade.share.Notice;
 import cypressglade.share.Notice.Piece;
 import cypressglade.share.Verdicts.Verdict;
-import cypressglade.peer.Sealed.Fault;
-import cypressglade.peer.Sealed.Refused;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -36,18 +36,43 @@
 class CodecTest {
     static final String KEY = "1 " + "0a".repeat(32);
     private static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
-    private static final Member MEMBER = new Member("i-1", new InetSocketAddress("127.0.0.1", 40_000), -5, 3,
-            State.SUSPECT);
-    private static final Envelope ENVELOPE = new Envelope(-1, Long.MIN_VALUE, 9, Optional.of(new Message(Kind.PING_FOR,
-            7, "i-2", new InetSocketAddress("127.0.0.2", 1), List.of(new News(MEMBER, "i-9"), new News(MEMBER, "i-1")))));
+    private static final Member MEMBER =
+            new Member("i-1", new InetSocketAddress("127.0.0.1", 40_000), -5, 3, State.SUSPECT);
+    private static final Envelope ENVELOPE =
+            new Envelope(
+                    -1,
+                    Long.MIN_VALUE,
+                    9,
+                    Optional.of(
+                            new Message(
+                                    Kind.PING_FOR,
+                                    7,
+                                    "i-2",
+                                    new InetSocketAddress("127.0.0.2", 1),
+                                    List.of(new News(MEMBER, "i-9"), new News(MEMBER, "i-1")))));
 
     static Word word(int number) {
-        return new Word("s-" + number, 1_700_000_000_000_000L, 5000, 250, 0.5, 0.25, 40, Duration.ZERO,
-                NOW.minusMillis(50), new Origin("i-1", 77));
+        return new Word(
+                "s-" + number,
+                1_700_000_000_000_000L,
+                5000,
+                250,
+                0.5,
+                0.25,
+                40,
+                Duration.ZERO,
+                NOW.minusMillis(50),
+                new Origin("i-1", 77));
     }
 
     private static Transfer transfer(int words) {
-        return new Transfer(1, 2, 3, true, List.of(MEMBER), IntStream.range(0, words).mapToObj(CodecTest::word).toList(),
+        return new Transfer(
+                1,
+                2,
+                3,
+                true,
+                List.of(MEMBER),
+                IntStream.range(0, words).mapToObj(CodecTest::word).toList(),
                 Map.of("a", 5L));
     }
 
@@ -55,26 +80,49 @@
     void whatIsWrittenIsReadAgainAndNeverYounger() throws Exception {
         assertThat(Codec.envelope(Codec.bytes(ENVELOPE))).isEqualTo(ENVELOPE);
         Transfer read = Codec.transfer(Codec.bytes(transfer(2), NOW), NOW.plusSeconds(60));
-        assertThat(read.words()).extracting(word -> word.age(NOW.plusSeconds(60))).containsOnly(Duration.ofMillis(51));
-        assertThat(read).usingRecursiveComparison().ignoringFieldsOfTypes(Instant.class).isEqualTo(transfer(2));
+        assertThat(read.words())
+                .extracting(word -> word.age(NOW.plusSeconds(60)))
+                .containsOnly(Duration.ofMillis(51));
+        assertThat(read)
+                .usingRecursiveComparison()
+                .ignoringFieldsOfTypes(Instant.class)
+                .isEqualTo(transfer(2));
         byte[] snapshot = Codec.snapshot("me", transfer(1).words(), NOW);
         assertThat(Codec.snapshot(snapshot, "me", Duration.ofSeconds(5), NOW).orElseThrow())
-                .extracting(word -> word.age(NOW)).containsExactly(Duration.ofMillis(5051));
+                .extracting(word -> word.age(NOW))
+                .containsExactly(Duration.ofMillis(5051));
         assertThat(Codec.snapshot(snapshot, "you", Duration.ZERO, NOW)).isEmpty();
     }
 
     @Test
     void whatIsSharedIsReadAgain() throws Exception {
         Verdict verdict = new Verdict("node s-1", "exclude", NOW, "m-1", 3);
-        Notice notice = new Notice(-7, Map.of(5L, -1L, 6L, 3L), List.of(new Piece("m-1", 5, 0, 2, 9,
-                Map.of("v 3b4d60021", 0.1, "n 1700000000000000 s-5be2a07c", 3.0))), List.of(verdict));
+        Notice notice =
+                new Notice(
+                        -7,
+                        Map.of(5L, -1L, 6L, 3L),
+                        List.of(
+                                new Piece(
+                                        "m-1",
+                                        5,
+                                        0,
+                                        2,
+                                        9,
+                                        Map.of(
+                                                "v 3b4d60021",
+                                                0.1,
+                                                "n 1700000000000000 s-5be2a07c",
+                                                3.0))),
+                        List.of(verdict));
         Envelope envelope = new Envelope(1, 2, 3, Optional.empty(), Optional.of(notice));
         assertThat(Codec.envelope(Codec.bytes(envelope))).isEqualTo(envelope);
         assertThat(Codec.verdicts(Codec.verdicts(List.of(verdict)))).containsExactly(verdict);
-        Transfer sent = new Transfer(1, 2, 3, true, List.of(MEMBER), List.of(), Map.of(), List.of(verdict));
+        Transfer sent =
+                new Transfer(1, 2, 3, true, List.of(MEMBER), List.of(), Map.of(), List.of(verdict));
         assertThat(Codec.transfer(Codec.bytes(sent, NOW), NOW)).isEqualTo(sent);
         Verdict lengthy = new Verdict("node " + "s".repeat(130), "exclude", NOW, "m-1", 3);
-        assertThatThrownBy(() -> Codec.verdicts(Codec.verdicts(List.of(lengthy)))).isInstanceOf(IOException.class);
+        assertThatThrownBy(() -> Codec.verdicts(Codec.verdicts(List.of(lengthy))))
+                .isInstanceOf(IOException.class);
     }
 
     @Test
@@ -91,10 +139,14 @@
             out.writeStringField("later", "y");
             out.writeEndObject();
         }
-        assertThat(Codec.envelope(bytes.toByteArray())).isEqualTo(new Envelope(5, 0, 0, Optional.empty()));
+        assertThat(Codec.envelope(bytes.toByteArray()))
+                .isEqualTo(new Envelope(5, 0, 0, Optional.empty()));
     }
 
-    /** Cut, changed and made-up bodies: read or refused, but nothing else is thrown and nothing runs away. */
+    /**
+     * Cut, changed and made-up bodies: read or refused, but nothing else is thrown and nothing runs
+     * away.
+     */
     @Test
     void garbledBodiesAreRefusedOrRead() {
         Random random = new Random(5);
@@ -138,30 +190,40 @@
         for (int i = 0; i < sealed.length; i++) {
             byte[] changed = sealed.clone();
             changed[i] ^= 1;
-            assertThat(fault(keys, changed)).isEqualTo(i == 0 ? Fault.NO : i == 1 ? Fault.KEY : Fault.SIGNATURE);
+            assertThat(fault(keys, changed))
+                    .isEqualTo(i == 0 ? Fault.NO : i == 1 ? Fault.KEY : Fault.SIGNATURE);
         }
         assertThat(fault(keys, Arrays.copyOf(sealed, 33))).isEqualTo(Fault.SHORT);
         assertThat(fault(keys, new byte[0])).isEqualTo(Fault.SHORT);
         assertThat(fault(keys, new byte[] {2})).isEqualTo(Fault.VERSION);
         assertThat(fault(keys, Sealed.no())).isEqualTo(Fault.NO);
-        assertThat(fault(KeyRing.parse("k", "1 " + "0b".repeat(32)), sealed)).isEqualTo(Fault.SIGNATURE);
+        assertThat(fault(KeyRing.parse("k", "1 " + "0b".repeat(32)), sealed))
+                .isEqualTo(Fault.SIGNATURE);
     }
 
     /** The three steps in which a key is changed on one instance after the other. */
     @Test
     void twoKeysHoldWhileOneIsChanged() throws Exception {
         String other = "2 " + "0b".repeat(32);
-        List<KeyRing> steps = List.of(KeyRing.parse("k", KEY), KeyRing.parse("k", KEY + "\n" + other),
-                KeyRing.parse("k", other + "\n" + KEY), KeyRing.parse("k", other));
+        List<KeyRing> steps =
+                List.of(
+                        KeyRing.parse("k", KEY),
+                        KeyRing.parse("k", KEY + "\n" + other),
+                        KeyRing.parse("k", other + "\n" + KEY),
+                        KeyRing.parse("k", other));
         for (int i = 0; i + 1 < steps.size(); i++) {
             assertThat(fault(steps.get(i), Sealed.seal(steps.get(i + 1), new byte[1]))).isNull();
             assertThat(fault(steps.get(i + 1), Sealed.seal(steps.get(i), new byte[1]))).isNull();
         }
-        assertThat(fault(steps.get(3), Sealed.seal(steps.get(0), new byte[1]))).isEqualTo(Fault.KEY);
+        assertThat(fault(steps.get(3), Sealed.seal(steps.get(0), new byte[1])))
+                .isEqualTo(Fault.KEY);
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', textBlock = """
+    @CsvSource(
+            delimiter = '|',
+            textBlock =
+                    """
             '' | k: has 0 keys
             1 | k:1: is not ID HEX
             256 0a | k:1: is not ID HEX
@@ -172,14 +234,16 @@
             """)
     void unusableKeyFilesAreNamedByLine(String text, String why) {
         assertThatThrownBy(() -> KeyRing.parse("k", text.replace("\\n", "\n").replace("@", KEY)))
-                .isInstanceOf(IOException.class).hasMessageStartingWith(why);
+                .isInstanceOf(IOException.class)
+                .hasMessageStartingWith(why);
     }
 
     @ParameterizedTest
     @CsvSource({"0", "-1", "65537", "2147483647"})
     void framesOutOfBoundsFailBeforeRoomIsMade(int length) {
-        Frames frames = new Frames(frame -> { });
+        Frames frames = new Frames(frame -> {});
         assertThatThrownBy(() -> frames.feed(java.nio.ByteBuffer.allocate(4).putInt(length).flip()))
-                .isInstanceOf(IOException.class).hasMessageContaining(Integer.toString(length));
+                .isInstanceOf(IOException.class)
+                .hasMessageContaining(Integer.toString(length));
     }
 }
--- a/src/test/java/cypressglade/peer/PeersTest.java
+++ b/src/test/java/cypressglade/peer/PeersTest.java
@@ -22,7 +22,6 @@
 import cypressglade.standin.Site;
 import cypressglade.standin.StandIn;
 import cypressglade.standin.StorageNode;
-import java.util.Set;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.io.IOException;
@@ -38,6 +37,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import java.util.Set;
 import java.util.concurrent.CountDownLatch;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.AfterEach;
@@ -57,8 +57,7 @@
     private final StorageNode silent = new StorageNode(0, true);
     private final List<AutoCloseable> open = new ArrayList<>(List.of(node, silent));
     private KeyRing keys;
-    @TempDir
-    private Path directory;
+    @TempDir private Path directory;
 
     @BeforeEach
     void readKeys() throws IOException {
@@ -73,32 +72,63 @@
     }
 
     private PeersConfig talking(String name, Duration wait, InetSocketAddress... seeds) {
-        return new PeersConfig(name, Optional.of(new PeersConfig.Talk(ANY, Optional.empty(), List.of(seeds),
-                keys, Duration.ofSeconds(1), true, Timing.standard(), false, Optional.empty())), Optional.empty(), 100, wait);
+        return new PeersConfig(
+                name,
+                Optional.of(
+                        new PeersConfig.Talk(
+                                ANY,
+                                Optional.empty(),
+                                List.of(seeds),
+                                keys,
+                                Duration.ofSeconds(1),
+                                true,
+                                Timing.standard(),
+                                false,
+                                Optional.empty())),
+                Optional.empty(),
+                100,
+                wait);
     }
 
     private PeersConfig alone(String name) {
-        return new PeersConfig(name, Optional.empty(), Optional.of(new PeersConfig.Snapshots(directory,
-                Duration.ofSeconds(1), Duration.ofMinutes(1))), 100, Duration.ofMillis(200));
+        return new PeersConfig(
+                name,
+                Optional.empty(),
+                Optional.of(
+                        new PeersConfig.Snapshots(
+                                directory, Duration.ofSeconds(1), Duration.ofMinutes(1))),
+                100,
+                Duration.ofMillis(200));
     }
 
     private Site site(PeersConfig peers) throws Exception {
-        Site site = new Site(List.of(node.hostPort(), silent.hostPort()),
-                new OperatorFiles(Optional.empty(), Optional.of(peers), Optional.empty()));
+        Site site =
+                new Site(
+                        List.of(node.hostPort(), silent.hostPort()),
+                        new OperatorFiles(Optional.empty(), Optional.of(peers), Optional.empty()));
         open.add(site);
         return site;
     }
 
     private static int ask(Site site, int shard) throws IOException {
-        return site.ask(Site.request("GET", "/job-read/00000003b4d60021/7f3a9c21e0b4d655",
-                Site.headers(900, "standard", "units=2,shard=" + shard + ",hosts=1"), "")).status();
+        return site.ask(
+                        Site.request(
+                                "GET",
+                                "/job-read/00000003b4d60021/7f3a9c21e0b4d655",
+                                Site.headers(
+                                        900, "standard", "units=2,shard=" + shard + ",hosts=1"),
+                                ""))
+                .status();
     }
 
     private static long count(Site site, Name name) {
         return site.serve.counters().get(name);
     }
 
-    /** Asks both nodes, so that the site knows which of them is silent; returns what the silent one was sent. */
+    /**
+     * Asks both nodes, so that the site knows which of them is silent; returns what the silent one
+     * was sent.
+     */
     private int learn(Site site) throws Exception {
         assertThat(ask(site, 0)).isEqualTo(200);
         assertThat(ask(site, 1)).isNotEqualTo(200);
@@ -139,7 +169,8 @@
         Site first = site(alone("a"));
         int sent = learn(first);
         Site.await(() -> count(first, Name.SNAPSHOTS_WRITTEN) >= 2);
-        Site again = site(alone(name)); // the first runs on, as a killed one would write nothing more either
+        Site again = site(alone(name)); // the first runs on, as a killed one would write nothing
+        // more either
         if (learns) {
             Site.await(() -> count(again, Name.HINTS_TAKEN) == 2);
             assertThat(ask(again, 1)).isEqualTo(503);
@@ -151,7 +182,10 @@
         }
     }
 
-    /** A peer that takes the connection and is silent, or is not there: the doors open all the same, in time. */
+    /**
+     * A peer that takes the connection and is silent, or is not there: the doors open all the same,
+     * in time.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void startWaitsForAPeerNoLongerThanItsBound(boolean there) throws Exception {
@@ -165,7 +199,10 @@
         Site.await(() -> count(site, Name.TRANSFERS_BROKEN) > 0);
     }
 
-    /** Answers the first frame of a transfer and then breaks off, stalls, lies, or replays what it said to another. */
+    /**
+     * Answers the first frame of a transfer and then breaks off, stalls, lies, or replays what it
+     * said to another.
+     */
     private final class BadPeer extends StandIn {
         private final String way;
         private final CountDownLatch goOn = new CountDownLatch(1);
@@ -182,18 +219,64 @@
             in.readFully(question);
             Instant now = Time.now();
             Transfer asked = Codec.transfer(Sealed.open(keys, question), now);
-            Word word = new Word("s-1", 0, way.equals("lies") ? Double.NaN : 5000, 0, 0, 0, 9, Duration.ofSeconds(1),
-                    now.minusSeconds(1), new Origin("z", 1));
-            byte[] first = Sealed.seal(keys, Codec.bytes(new Transfer(asked.ask() + (way.equals("replays") ? 1 : 0), 0, 0,
-                    way.equals("lies") || way.equals("replays"), List.of(),
-                    way.equals("goes on") ? List.of() : List.of(word), Map.of()), now));
+            Word word =
+                    new Word(
+                            "s-1",
+                            0,
+                            way.equals("lies") ? Double.NaN : 5000,
+                            0,
+                            0,
+                            0,
+                            9,
+                            Duration.ofSeconds(1),
+                            now.minusSeconds(1),
+                            new Origin("z", 1));
+            byte[] first =
+                    Sealed.seal(
+                            keys,
+                            Codec.bytes(
+                                    new Transfer(
+                                            asked.ask() + (way.equals("replays") ? 1 : 0),
+                                            0,
+                                            0,
+                                            way.equals("lies") || way.equals("replays"),
+                                            List.of(),
+                                            way.equals("goes on") ? List.of() : List.of(word),
+                                            Map.of()),
+                                    now));
             frame(out, first);
             if (way.equals("goes on")) {
                 goOn.await();
-                List<Word> later = Stream.of("s-0", "s-1").map(id -> new Word(id, 0, 5000, 0, 0, 0, 9,
-                        Duration.ofSeconds(1), now.minusSeconds(1), new Origin("y", 2))).toList();
-                frame(out, Sealed.seal(keys, Codec.bytes(new Transfer(asked.ask(), 0, 1, true, List.of(), later,
-                        Map.of()), now)));
+                List<Word> later =
+                        Stream.of("s-0", "s-1")
+                                .map(
+                                        id ->
+                                                new Word(
+                                                        id,
+                                                        0,
+                                                        5000,
+                                                        0,
+                                                        0,
+                                                        0,
+                                                        9,
+                                                        Duration.ofSeconds(1),
+                                                        now.minusSeconds(1),
+                                                        new Origin("y", 2)))
+                                .toList();
+                frame(
+                        out,
+                        Sealed.seal(
+                                keys,
+                                Codec.bytes(
+                                        new Transfer(
+                                                asked.ask(),
+                                                0,
+                                                1,
+                                                true,
+                                                List.of(),
+                                                later,
+                                                Map.of()),
+                                        now)));
             }
             if (!way.equals("breaks off")) {
                 in.read();
@@ -209,24 +292,33 @@
 
     @ParameterizedTest
     @CsvSource({"breaks off, 1, 0", "stalls, 1, 0", "replays, 0, 0", "lies, 0, 1"})
-    void whatCameBeforeATransferBrokeCountsAndNothingElse(String way, long hints, long refused) throws Exception {
+    void whatCameBeforeATransferBrokeCountsAndNothingElse(String way, long hints, long refused)
+            throws Exception {
         Site site = site(talking("a", LONG, new BadPeer(way).address()));
-        Site.await(() -> count(site, Name.TRANSFERS_BROKEN) + count(site, Name.TRANSFERS_TAKEN) > 0);
+        Site.await(
+                () -> count(site, Name.TRANSFERS_BROKEN) + count(site, Name.TRANSFERS_TAKEN) > 0);
         assertThat(count(site, Name.HINTS_TAKEN)).isEqualTo(hints);
         assertThat(count(site, Name.WORDS_REFUSED)).isGreaterThanOrEqualTo(refused);
         assertThat(ask(site, 0)).isEqualTo(200);
     }
 
-    /** The node changes while word of it is on its way: word of an earlier run, or of one that drains, is not taught. */
+    /**
+     * The node changes while word of it is on its way: word of an earlier run, or of one that
+     * drains, is not taught.
+     */
     @ParameterizedTest
     @CsvSource({"active, 0, 2", "leaving, 0, 1", "left, 0, 1", "active, 1700000000000, 1"})
-    void nodesThatChangeMidTransferAreNotTaughtByOldWord(String state, long startedMs, long hints) throws Exception {
+    void nodesThatChangeMidTransferAreNotTaughtByOldWord(String state, long startedMs, long hints)
+            throws Exception {
         BadPeer peer = new BadPeer("goes on");
         Site site = site(talking("a", Duration.ZERO, peer.address()));
         Site.await(() -> peer.connections.get() == 1);
         site.tell(42, Site.entry(1, silent.hostPort(), state, startedMs));
         peer.goOn.countDown();
-        Site.await(() -> count(site, Name.HINTS_TAKEN) > 0); // what is taught of both nodes is decided at once
+        Site.await(
+                () ->
+                        count(site, Name.HINTS_TAKEN)
+                                > 0); // what is taught of both nodes is decided at once
         assertThat(count(site, Name.HINTS_TAKEN)).isEqualTo(hints);
     }
 
@@ -246,9 +338,27 @@
         }
 
         byte[] ping(KeyRing with, long life, long number) {
-            Member self = new Member("h", (InetSocketAddress) socket.getLocalSocketAddress(), 77, 0, State.ALIVE);
-            return Sealed.seal(with, Codec.bytes(new Envelope(77, life, number, Optional.of(new Message(Kind.PING, 5,
-                    "", null, List.of(new News(self, "h")))))));
+            Member self =
+                    new Member(
+                            "h",
+                            (InetSocketAddress) socket.getLocalSocketAddress(),
+                            77,
+                            0,
+                            State.ALIVE);
+            return Sealed.seal(
+                    with,
+                    Codec.bytes(
+                            new Envelope(
+                                    77,
+                                    life,
+                                    number,
+                                    Optional.of(
+                                            new Message(
+                                                    Kind.PING,
+                                                    5,
+                                                    "",
+                                                    null,
+                                                    List.of(new News(self, "h")))))));
         }
 
         byte[] next() throws IOException {
@@ -298,7 +408,8 @@
         assertThatThrownBy(hand::next).isInstanceOf(SocketTimeoutException.class);
         assertThat(report(site).members()).hasSize(1);
         assertThatThrownBy(() -> PeerReport.of(site.serve.peerAddress().orElseThrow(), wrong))
-                .isInstanceOf(IOException.class).hasMessageContaining("same key file");
+                .isInstanceOf(IOException.class)
+                .hasMessageContaining("same key file");
         assertThat(ask(site, 0)).isEqualTo(200);
     }
 
@@ -323,23 +434,55 @@
         Site site = site(talking("a", LONG));
         InetSocketAddress at = site.serve.peerAddress().orElseThrow();
         String next = "2 " + "0b".repeat(32);
-        List<String> steps = List.of(CodecTest.KEY, CodecTest.KEY + "\n" + next, next + "\n" + CodecTest.KEY, next);
+        List<String> steps =
+                List.of(
+                        CodecTest.KEY,
+                        CodecTest.KEY + "\n" + next,
+                        next + "\n" + CodecTest.KEY,
+                        next);
         for (int i = 1; i < steps.size(); i++) {
             keys = KeyRing.parse("k", steps.get(i));
-            site.serve.use(site.config, new OperatorFiles(Optional.empty(),
-                    Optional.of(talking("a", LONG)), Optional.empty()));
-            assertThat(PeerReport.of(at, KeyRing.parse("k", steps.get(i - 1))).members()).hasSize(1);
+            site.serve.use(
+                    site.config,
+                    new OperatorFiles(
+                            Optional.empty(), Optional.of(talking("a", LONG)), Optional.empty()));
+            assertThat(PeerReport.of(at, KeyRing.parse("k", steps.get(i - 1))).members())
+                    .hasSize(1);
         }
-        assertThatThrownBy(() -> PeerReport.of(at, KeyRing.parse("k", steps.get(0)))).isInstanceOf(IOException.class);
+        assertThatThrownBy(() -> PeerReport.of(at, KeyRing.parse("k", steps.get(0))))
+                .isInstanceOf(IOException.class);
     }
 
-    /** A verdict counts with a key of the ring and a name of the roster; without the first it is not even read. */
+    /**
+     * A verdict counts with a key of the ring and a name of the roster; without the first it is not
+     * even read.
+     */
     @Test
     void aVerdictOfAStrangersKeyOrNameIsTurnedAway() throws Exception {
         PeersConfig.Talk plain = talking("a", LONG).talk().orElseThrow();
-        Site site = site(new PeersConfig("a", Optional.of(new PeersConfig.Talk(plain.listen(), plain.advertised(),
-                plain.seeds(), keys, plain.refresh(), true, plain.timing(), true, Optional.of(new Terms(
-                        Set.of("a", "h"), 0.25, 2, Duration.ofSeconds(1))))), Optional.empty(), 100, LONG));
+        Site site =
+                site(
+                        new PeersConfig(
+                                "a",
+                                Optional.of(
+                                        new PeersConfig.Talk(
+                                                plain.listen(),
+                                                plain.advertised(),
+                                                plain.seeds(),
+                                                keys,
+                                                plain.refresh(),
+                                                true,
+                                                plain.timing(),
+                                                true,
+                                                Optional.of(
+                                                        new Terms(
+                                                                Set.of("a", "h"),
+                                                                0.25,
+                                                                2,
+                                                                Duration.ofSeconds(1))))),
+                                Optional.empty(),
+                                100,
+                                LONG));
         Hand hand = new Hand(site);
         hand.send(hand.ping(keys, 0, 1));
         long life = Codec.envelope(Sealed.open(keys, hand.next())).from();
@@ -356,7 +499,25 @@
     }
 
     private static byte[] verdict(KeyRing with, long life, long number, String by, String node) {
-        return Sealed.seal(with, Codec.bytes(new Envelope(77, life, number, Optional.empty(), Optional.of(new Notice(0,
-                Map.of(), List.of(), List.of(new Verdict("node " + node, "exclude", Instant.now(), by, 1)))))));
+        return Sealed.seal(
+                with,
+                Codec.bytes(
+                        new Envelope(
+                                77,
+                                life,
+                                number,
+                                Optional.empty(),
+                                Optional.of(
+                                        new Notice(
+                                                0,
+                                                Map.of(),
+                                                List.of(),
+                                                List.of(
+                                                        new Verdict(
+                                                                "node " + node,
+                                                                "exclude",
+                                                                Instant.now(),
+                                                                by,
+                                                                1)))))));
     }
 }
--- a/src/test/java/cypressglade/process/AcceptFaultIT.java
+++ b/src/test/java/cypressglade/process/AcceptFaultIT.java
@@ -17,21 +17,31 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A connection in the backlog is accepted by the machine: what is sent on it is owed an answer in time. */
+/**
+ * A connection in the backlog is accepted by the machine: what is sent on it is owed an answer in
+ * time.
+ */
 class AcceptFaultIT {
     private static final Duration FAULT = Duration.ofMillis(1500);
     private static final Duration IN_TIME = Duration.ofMillis(900);
     private static final String READ = "/job-read/00000003b4d60021/7f3a9c21e0b4d655";
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
-    /** Guards against a wait after a failed accept that grows with each failure and outlasts the fault by seconds. */
+    /**
+     * Guards against a wait after a failed accept that grows with each failure and outlasts the
+     * fault by seconds.
+     */
     @Test
     void clientsAreTakenAgainAsSoonAsAcceptWorks() throws Exception {
         FaultLibrary faults = new FaultLibrary(Files.createDirectory(folder.resolve("faults")));
         try (HttpPeer node = new HttpPeer(HttpPeer.answer(200, "", "the data"))) {
-            Place place = Place.in(folder, Site.entry(0, node.hostPort(), "active", 0), "127.0.0.1:1", 192);
+            Place place =
+                    Place.in(
+                            folder,
+                            Site.entry(0, node.hostPort(), "active", 0),
+                            "127.0.0.1:1",
+                            192);
             try (RealScheduler scheduler = RealScheduler.start(place, Optional.of(faults))) {
                 assertThat(ask(scheduler).status()).isEqualTo(200);
                 faults.on("accept");
@@ -41,7 +51,9 @@
                     long begun = System.nanoTime();
                     assertThat(ask(scheduler).status()).isEqualTo(200);
                     Duration took = Duration.ofNanos(System.nanoTime() - begun);
-                    assertThat(took).as("from the end of the fault to an answer").isLessThan(IN_TIME);
+                    assertThat(took)
+                            .as("from the end of the fault to an answer")
+                            .isLessThan(IN_TIME);
                     assertThat(early.isConnected()).isTrue();
                 }
             }
@@ -50,8 +62,17 @@
 
     private static Message ask(RealScheduler scheduler) throws IOException {
         try (Socket client = scheduler.connect()) {
-            client.getOutputStream().write(Site.request("GET", READ, Site.headers((int) IN_TIME.toMillis(), "standard",
-                    "units=2,shard=0,hosts=1"), "").getBytes(StandardCharsets.US_ASCII));
+            client.getOutputStream()
+                    .write(
+                            Site.request(
+                                            "GET",
+                                            READ,
+                                            Site.headers(
+                                                    (int) IN_TIME.toMillis(),
+                                                    "standard",
+                                                    "units=2,shard=0,hosts=1"),
+                                            "")
+                                    .getBytes(StandardCharsets.US_ASCII));
             return Message.read(new DataInputStream(client.getInputStream()));
         }
     }
--- a/src/test/java/cypressglade/process/ClockStepIT.java
+++ b/src/test/java/cypressglade/process/ClockStepIT.java
@@ -27,8 +27,7 @@
     private static final int REQUESTS = 20;
     private static final int[] STEPS_AT = {5, 15};
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private final HttpPeer node = new HttpPeer(HttpPeer.answer(200, "", "the data"));
     private FaultLibrary faults;
     private Place place;
@@ -56,8 +55,10 @@
                 } else if (i == STEPS_AT[1]) {
                     faults.off(step);
                 }
-                client.getOutputStream().write(Site.request("GET", READ, HEADERS, "")
-                        .getBytes(StandardCharsets.US_ASCII));
+                client.getOutputStream()
+                        .write(
+                                Site.request("GET", READ, HEADERS, "")
+                                        .getBytes(StandardCharsets.US_ASCII));
                 assertThat(Message.read(in).status()).as("request " + i).isEqualTo(200);
             }
         }
--- a/src/test/java/cypressglade/process/DiskFaultIT.java
+++ b/src/test/java/cypressglade/process/DiskFaultIT.java
@@ -15,12 +15,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A disk that fails for a while ends no process, and what was taken on meanwhile is kept once it works again. */
+/**
+ * A disk that fails for a while ends no process, and what was taken on meanwhile is kept once it
+ * works again.
+ */
 class DiskFaultIT {
     private static final long FAULT_MS = 700;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private final HttpPeer node = new HttpPeer(HttpPeer.answer(200, "", "the data"));
     private FaultLibrary faults;
     private Place place;
@@ -54,11 +56,16 @@
             Site.await(() -> Files.exists(bans()));
         }
         try (RealScheduler next = start()) {
-            assertThat(next.call("include s-0")).as("the ban was kept").isEqualTo("200 included s-0");
+            assertThat(next.call("include s-0"))
+                    .as("the ban was kept")
+                    .isEqualTo("200 included s-0");
         }
     }
 
-    /** Guards against a newcomer that ends where it cannot leave its mark, and against two that both take the whole. */
+    /**
+     * Guards against a newcomer that ends where it cannot leave its mark, and against two that both
+     * take the whole.
+     */
     @Test
     void anUpgradeOnADiskThatFailsGoesThrough() throws Exception {
         try (RealScheduler old = start()) {
@@ -67,10 +74,16 @@
             try (RealScheduler next = start()) {
                 assertThat(next.call("exclude s-0")).as("the ban came over").startsWith("200 ");
                 faults.off("disk");
-                Site.await(() -> next.output().stream().anyMatch(line -> line.contains("scheduler: 2")));
+                Site.await(
+                        () ->
+                                next.output().stream()
+                                        .anyMatch(line -> line.contains("scheduler: 2")));
                 old.signal("TERM");
                 assertThat(old.exit()).isZero();
-                Site.await(() -> next.output().stream().anyMatch(line -> line.contains("scheduler: 1")));
+                Site.await(
+                        () ->
+                                next.output().stream()
+                                        .anyMatch(line -> line.contains("scheduler: 1")));
             }
         }
     }
@@ -86,14 +99,23 @@
             scheduler.exit();
         }
         byte[] whole = Files.readAllBytes(bans());
-        Files.copy(bans(), bans().resolveSibling("bans.snap.1"), java.nio.file.StandardCopyOption.REPLACE_EXISTING);
-        Files.write(bans(), java.util.Arrays.copyOf(whole, whole.length / 2), StandardOpenOption.TRUNCATE_EXISTING);
+        Files.copy(
+                bans(),
+                bans().resolveSibling("bans.snap.1"),
+                java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+        Files.write(
+                bans(),
+                java.util.Arrays.copyOf(whole, whole.length / 2),
+                StandardOpenOption.TRUNCATE_EXISTING);
         try (RealScheduler next = start()) {
             assertThat(next.call("include s-0")).isEqualTo("200 included s-0");
         }
     }
 
-    /** Guards against a file that could not be read being taken for a wrong one, at the start and at SIGHUP. */
+    /**
+     * Guards against a file that could not be read being taken for a wrong one, at the start and at
+     * SIGHUP.
+     */
     @Test
     void aConfigurationThatCannotBeReadForAMomentIsReadAgain() throws Exception {
         faults.on("read");
@@ -105,17 +127,28 @@
             scheduler.signal("HUP");
             RealScheduler.pause(FAULT_MS);
             faults.off("read");
-            Site.await(() -> scheduler.output().stream().anyMatch(line -> line.contains("reloaded")));
+            Site.await(
+                    () -> scheduler.output().stream().anyMatch(line -> line.contains("reloaded")));
         }
     }
 
-    /** What one process of an upgrade is told by an operator holds in the other too, within its next looks. */
+    /**
+     * What one process of an upgrade is told by an operator holds in the other too, within its next
+     * looks.
+     */
     @Test
     void aBanGivenToOneProcessOfAnUpgradeHoldsInTheOther() throws Exception {
-        try (RealScheduler old = start(); RealScheduler next = start()) {
+        try (RealScheduler old = start();
+                RealScheduler next = start()) {
             Site.await(() -> old.output().stream().anyMatch(line -> line.contains("scheduler: 2")));
             assertThat(next.call("exclude s-0")).startsWith("200 ");
-            Site.await(() -> old.output().stream().anyMatch(line -> line.contains("bans by the process beside: [s-0]")));
+            Site.await(
+                    () ->
+                            old.output().stream()
+                                    .anyMatch(
+                                            line ->
+                                                    line.contains(
+                                                            "bans by the process beside: [s-0]")));
         }
     }
 }
--- a/src/test/java/cypressglade/process/FaultLibrary.java
+++ b/src/test/java/cypressglade/process/FaultLibrary.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The library of {@code src/test/c/faults.c}, built with the machine's C compiler, and the directory whose files turn
- * its faults on.
+ * The library of {@code src/test/c/faults.c}, built with the machine's C compiler, and the
+ * directory whose files turn its faults on.
  */
 final class FaultLibrary {
     private static final Path SOURCE = Path.of("src/test/c/faults.c");
@@ -24,13 +24,29 @@
     }
 
     private static synchronized void build() throws IOException, InterruptedException {
-        if (Files.exists(BUILT) && Files.getLastModifiedTime(BUILT).compareTo(Files.getLastModifiedTime(SOURCE)) > 0) {
+        if (Files.exists(BUILT)
+                && Files.getLastModifiedTime(BUILT).compareTo(Files.getLastModifiedTime(SOURCE))
+                        > 0) {
             return;
         }
-        Process compiler = new ProcessBuilder("cc", "-shared", "-fPIC", "-O1", "-Wall", "-Werror", "-o",
-                BUILT.toString(), SOURCE.toString(), "-ldl").redirectErrorStream(true).start();
+        Process compiler =
+                new ProcessBuilder(
+                                "cc",
+                                "-shared",
+                                "-fPIC",
+                                "-O1",
+                                "-Wall",
+                                "-Werror",
+                                "-o",
+                                BUILT.toString(),
+                                SOURCE.toString(),
+                                "-ldl")
+                        .redirectErrorStream(true)
+                        .start();
         String said = new String(compiler.getInputStream().readAllBytes());
-        assertThat(compiler.waitFor(60, TimeUnit.SECONDS) && compiler.exitValue() == 0).as(said).isTrue();
+        assertThat(compiler.waitFor(60, TimeUnit.SECONDS) && compiler.exitValue() == 0)
+                .as(said)
+                .isTrue();
     }
 
     Path library() {
--- a/src/test/java/cypressglade/process/HeldUpIT.java
+++ b/src/test/java/cypressglade/process/HeldUpIT.java
@@ -27,34 +27,43 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A process that gets its core late, between waiting for events and acting: what came meanwhile must count before a
- * timer closes a connection, and before an attempt begins.
+ * A process that gets its core late, between waiting for events and acting: what came meanwhile
+ * must count before a timer closes a connection, and before an attempt begins.
  */
 class HeldUpIT {
     private static final String READ = "/job-read/00000003b4d60021/7f3a9c21e0b4d655";
     private static final String HEADERS = Site.headers(900, "standard", "units=1,shard=0,hosts=1");
-    private static final String LONG_HEADERS = Site.headers(8000, "standard", "units=1,shard=0,hosts=1");
+    private static final String LONG_HEADERS =
+            Site.headers(8000, "standard", "units=1,shard=0,hosts=1");
     private static final int CLIENTS = 200;
+
     /** Idle connections are closed after 2.2 s; requests are sent round that time. */
     private static final int FIRST_MS = 2150;
+
     private static final int SPREAD_MS = 300;
     private static final int STEP_MS = 10;
-    /** Whoever is closed so soon after he asked may have crossed the close, and asks again elsewhere. */
+
+    /**
+     * Whoever is closed so soon after he asked may have crossed the close, and asks again
+     * elsewhere.
+     */
     private static final long CROSSING_MS = 20;
+
     private static final long NODE_MS = 30;
     private static final int LEAVERS = 40;
     private static final long LEAVE_STEP_MS = 25;
     private static final long SETTLE_MS = 1500;
     private static final long LATE_START_MS = 100;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
     private final ConcurrentMap<String, Long> begun = new ConcurrentHashMap<>();
-    private final HttpPeer node = new HttpPeer((request, out) -> {
-        begun.put(request.headers().get("x-trace-id"), System.nanoTime());
-        RealScheduler.pause(NODE_MS);
-        HttpPeer.answer(200, "", "the data").answer(request, out);
-    });
+    private final HttpPeer node =
+            new HttpPeer(
+                    (request, out) -> {
+                        begun.put(request.headers().get("x-trace-id"), System.nanoTime());
+                        RealScheduler.pause(NODE_MS);
+                        HttpPeer.answer(200, "", "the data").answer(request, out);
+                    });
     private final ExecutorService threads = Executors.newFixedThreadPool(CLIENTS);
     private FaultLibrary faults;
     private RealScheduler scheduler;
@@ -62,7 +71,8 @@
     @BeforeEach
     void start() throws Exception {
         faults = new FaultLibrary(Files.createDirectory(folder.resolve("faults")));
-        Place place = Place.in(folder, Site.entry(0, node.hostPort(), "active", 0), "127.0.0.1:1", 192);
+        Place place =
+                Place.in(folder, Site.entry(0, node.hostPort(), "active", 0), "127.0.0.1:1", 192);
         scheduler = RealScheduler.start(place, Optional.of(faults));
     }
 
@@ -80,10 +90,12 @@
         for (int i = 0; i < CLIENTS; i++) {
             int start = i * STEP_MS;
             int rest = FIRST_MS + i * 37 % SPREAD_MS;
-            ends.add(threads.submit(() -> {
-                RealScheduler.pause(start);
-                return askTwice(rest);
-            }));
+            ends.add(
+                    threads.submit(
+                            () -> {
+                                RealScheduler.pause(start);
+                                return askTwice(rest);
+                            }));
         }
         RealScheduler.pause(FIRST_MS / 2);
         faults.on("stall");
@@ -114,8 +126,14 @@
                 return "";
             } catch (IOException unanswered) {
                 long here = (System.nanoTime() - sent) / 1_000_000;
-                return here < CROSSING_MS ? "" : "after a rest of " + restMs + " ms, here for " + here + " ms: "
-                        + unanswered;
+                return here < CROSSING_MS
+                        ? ""
+                        : "after a rest of "
+                                + restMs
+                                + " ms, here for "
+                                + here
+                                + " ms: "
+                                + unanswered;
             }
         }
     }
@@ -131,8 +149,9 @@
     }
 
     /**
-     * Guards against an attempt for a client whose end had come before the process acted. Connections to the node
-     * stand ready, so that nothing but the hold-up lies between the order to send and the first byte.
+     * Guards against an attempt for a client whose end had come before the process acted.
+     * Connections to the node stand ready, so that nothing but the hold-up lies between the order
+     * to send and the first byte.
      */
     @Test
     void nothingBeginsForAClientThatLeftWhileTheProcessWasHeldUp() throws Exception {
@@ -143,14 +162,22 @@
         for (int i = 0; i < LEAVERS; i++) {
             String id = "left" + i;
             long stay = i * LEAVE_STEP_MS;
-            clients.add(threads.submit(() -> {
-                try (Socket client = scheduler.connect()) {
-                    send(client, Site.request("GET", READ, LONG_HEADERS.replace("(new)", id), ""));
-                    RealScheduler.pause(stay);
-                }
-                left.put(id, System.nanoTime());
-                return null;
-            }));
+            clients.add(
+                    threads.submit(
+                            () -> {
+                                try (Socket client = scheduler.connect()) {
+                                    send(
+                                            client,
+                                            Site.request(
+                                                    "GET",
+                                                    READ,
+                                                    LONG_HEADERS.replace("(new)", id),
+                                                    ""));
+                                    RealScheduler.pause(stay);
+                                }
+                                left.put(id, System.nanoTime());
+                                return null;
+                            }));
         }
         for (Future<?> client : clients) {
             client.get(20, TimeUnit.SECONDS);
@@ -158,12 +185,13 @@
         faults.off("late");
         RealScheduler.pause(SETTLE_MS);
         List<String> late = new ArrayList<>();
-        left.forEach((id, when) -> {
-            long after = begun.containsKey(id) ? (begun.get(id) - when) / 1_000_000 : 0;
-            if (after > LATE_START_MS) {
-                late.add(id + " began " + after + " ms after its client had left");
-            }
-        });
+        left.forEach(
+                (id, when) -> {
+                    long after = begun.containsKey(id) ? (begun.get(id) - when) / 1_000_000 : 0;
+                    if (after > LATE_START_MS) {
+                        late.add(id + " began " + after + " ms after its client had left");
+                    }
+                });
         assertThat(late).isEmpty();
     }
 
@@ -171,12 +199,16 @@
     private void askAtOnce(int count) throws Exception {
         List<Future<Integer>> answers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            answers.add(threads.submit(() -> {
-                try (Socket client = scheduler.connect()) {
-                    send(client, Site.request("GET", READ, LONG_HEADERS, ""));
-                    return Message.read(new DataInputStream(client.getInputStream())).status();
-                }
-            }));
+            answers.add(
+                    threads.submit(
+                            () -> {
+                                try (Socket client = scheduler.connect()) {
+                                    send(client, Site.request("GET", READ, LONG_HEADERS, ""));
+                                    return Message.read(
+                                                    new DataInputStream(client.getInputStream()))
+                                            .status();
+                                }
+                            }));
         }
         for (Future<Integer> answer : answers) {
             assertThat(answer.get(20, TimeUnit.SECONDS)).isEqualTo(200);
--- a/src/test/java/cypressglade/process/Load.java
+++ b/src/test/java/cypressglade/process/Load.java
@@ -18,11 +18,14 @@
     /** Starts so many. */
     Load(int count, Client client) {
         for (int i = 0; i < count; i++) {
-            Thread thread = new Thread(() -> {
-                while (!over.get()) {
-                    client.ask(over::get);
-                }
-            }, "client");
+            Thread thread =
+                    new Thread(
+                            () -> {
+                                while (!over.get()) {
+                                    client.ask(over::get);
+                                }
+                            },
+                            "client");
             clients.add(thread);
             thread.start();
         }
--- a/src/test/java/cypressglade/process/RealScheduler.java
+++ b/src/test/java/cypressglade/process/RealScheduler.java
@@ -17,7 +17,10 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 
-/** One scheduler as the platform starts it: {@code deploy/run.sh} on the packaged program, in a process of its own. */
+/**
+ * One scheduler as the platform starts it: {@code deploy/run.sh} on the packaged program, in a
+ * process of its own.
+ */
 final class RealScheduler implements AutoCloseable {
     private static final long READY_SECONDS = 20;
     private static final int CALL_LIMIT_MS = 10_000;
@@ -25,7 +28,8 @@
     /** Where a scheduler is, and what it is told; several processes may be started on one. */
     record Place(Path folder, int port, String nodes, String discovery, int memoryMb) {
         /** A place on a free port, with its configuration, in an empty folder. */
-        static Place in(Path folder, String nodes, String discovery, int memoryMb) throws IOException {
+        static Place in(Path folder, String nodes, String discovery, int memoryMb)
+                throws IOException {
             Place place = new Place(folder, freePort(), nodes, discovery, memoryMb);
             Files.createDirectories(place.temporary());
             Files.writeString(place.config(), place.text());
@@ -58,14 +62,17 @@
     private RealScheduler(Place place, Optional<FaultLibrary> faults) throws IOException {
         this.place = place;
         door = freePort();
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", "exec sh deploy/run.sh").redirectErrorStream(true);
+        ProcessBuilder builder =
+                new ProcessBuilder("/bin/sh", "-c", "exec sh deploy/run.sh")
+                        .redirectErrorStream(true);
         builder.environment().put("ROUTER_CONFIG", place.config().toString());
         builder.environment().put("ROUTER_OPERATOR", "127.0.0.1:" + door);
         builder.environment().put("TMPDIR", place.temporary().toString());
-        faults.ifPresent(library -> {
-            builder.environment().put("LD_PRELOAD", library.library().toString());
-            builder.environment().put("FAULT_DIR", library.directory().toString());
-        });
+        faults.ifPresent(
+                library -> {
+                    builder.environment().put("LD_PRELOAD", library.library().toString());
+                    builder.environment().put("FAULT_DIR", library.directory().toString());
+                });
         process = builder.start();
         Thread reader = new Thread(this::read, "output of a scheduler");
         reader.setDaemon(true);
@@ -85,8 +92,9 @@
     }
 
     private void read() {
-        try (BufferedReader lines = new BufferedReader(new InputStreamReader(process.getInputStream(),
-                StandardCharsets.UTF_8))) {
+        try (BufferedReader lines =
+                new BufferedReader(
+                        new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             lines.lines().forEach(output::add);
         } catch (IOException | java.io.UncheckedIOException ended) {
             // with its process
@@ -104,8 +112,13 @@
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_SECONDS);
         while (!ready()) {
             if (!process.isAlive() || System.nanoTime() > end) {
-                throw new AssertionError("not ready, " + (process.isAlive() ? "alive" : "ended with "
-                        + process.exitValue()) + ":\n" + String.join("\n", output));
+                throw new AssertionError(
+                        "not ready, "
+                                + (process.isAlive()
+                                        ? "alive"
+                                        : "ended with " + process.exitValue())
+                                + ":\n"
+                                + String.join("\n", output));
             }
             pause(10);
         }
@@ -132,7 +145,10 @@
     }
 
     void signal(String name) throws IOException, InterruptedException {
-        new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).inheritIO().start().waitFor();
+        new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+                .inheritIO()
+                .start()
+                .waitFor();
     }
 
     boolean alive() {
@@ -152,12 +168,18 @@
         return output;
     }
 
-    /** Resident memory, files included, in kilobytes, what it shares counted whole; 0 where it has ended. */
+    /**
+     * Resident memory, files included, in kilobytes, what it shares counted whole; 0 where it has
+     * ended.
+     */
     long residentKb() {
         return kilobytes("status", "VmRSS:");
     }
 
-    /** The same, what it shares with other processes counted in parts, so that a sum counts each page once. */
+    /**
+     * The same, what it shares with other processes counted in parts, so that a sum counts each
+     * page once.
+     */
     long proportionalKb() {
         return kilobytes("smaps_rollup", "Pss:");
     }
@@ -166,7 +188,8 @@
         try {
             return Files.readAllLines(Path.of("/proc/" + process.pid() + "/" + file)).stream()
                     .filter(line -> line.startsWith(name))
-                    .mapToLong(line -> Long.parseLong(line.replaceAll("[^0-9]", ""))).sum();
+                    .mapToLong(line -> Long.parseLong(line.replaceAll("[^0-9]", "")))
+                    .sum();
         } catch (IOException ended) {
             return 0;
         }
--- a/src/test/java/cypressglade/share/FleetLimitsMeasure.java
+++ b/src/test/java/cypressglade/share/FleetLimitsMeasure.java
@@ -17,9 +17,9 @@
 import java.util.stream.LongStream;
 
 /**
- * {@code make measure-fleet-limits}: what five processes send of one limit while links are whole and while they are
- * split, how soon a verdict is everywhere at 10% loss, what a cold node gets from all, and 10,000 schedules of the
- * model.
+ * {@code make measure-fleet-limits}: what five processes send of one limit while links are whole
+ * and while they are split, how soon a verdict is everywhere at 10% loss, what a cold node gets
+ * from all, and 10,000 schedules of the model.
  */
 public final class FleetLimitsMeasure {
     private static final int SCHEDULES = 10_000;
@@ -28,8 +28,12 @@
     private static final double COLD_MS = 30;
     private static final Duration SPLIT = Duration.ofSeconds(8);
     private static final Duration WHOLE = Duration.ofSeconds(6);
-    /** A verdict goes out once, and what is lost comes with the next comparison: within two windows. */
+
+    /**
+     * A verdict goes out once, and what is lost comes with the next comparison: within two windows.
+     */
     private static final double MOST_SPREAD_MS = 2.0 * LimitRig.TERMS.window().toMillis();
+
     private static final Duration FALL = Duration.ofSeconds(1);
 
     private final Figures figures = new Figures();
@@ -44,7 +48,8 @@
             agree(rig, 5, 0, 1, 2, 3, 4);
             limits(rig);
             verdicts(rig);
-            figures.atMost("cold_overshoot", rig.mostCold(FALL) / (2 * 2 * FALL.toMillis() / COLD_MS), 1);
+            figures.atMost(
+                    "cold_overshoot", rig.mostCold(FALL) / (2 * 2 * FALL.toMillis() / COLD_MS), 1);
             figures.say("clients_refused", rig.refused());
         }
         figures.say("schedules_checked", SCHEDULES);
@@ -85,12 +90,20 @@
             long from = System.currentTimeMillis();
             int giver = random.nextInt(LimitRig.MEMBERS);
             String answer = rig.fleet.call(giver, word + " s-0");
-            boolean all = answer.startsWith("200") && rig.until(() -> taken(rig, from, giver, word).size()
-                    == LimitRig.MEMBERS - 1);
+            boolean all =
+                    answer.startsWith("200")
+                            && rig.until(
+                                    () ->
+                                            taken(rig, from, giver, word).size()
+                                                    == LimitRig.MEMBERS - 1);
             if (!all) {
                 throw new IOException(word + " at " + giver + " is not everywhere: " + answer);
             }
-            spread.add(taken(rig, from, giver, word).stream().mapToLong(at -> at - from).max().orElseThrow());
+            spread.add(
+                    taken(rig, from, giver, word).stream()
+                            .mapToLong(at -> at - from)
+                            .max()
+                            .orElseThrow());
         }
         spread.sort(Long::compare);
         figures.say("verdict_spread_ms_p50", spread.get(VERDICTS / 2));
@@ -99,11 +112,26 @@
 
     /** When each other member took a verdict. */
     private static List<Long> taken(LimitRig rig, long from, int giver, String word) {
-        return rig.fleet.since(from).stream().filter(event -> event.seenBy() != giver
-                && event.line().path("fleet").asText().equals("verdict_taken")
-                && event.line().path("verdict").path("word").asText().equals(word)
-                && event.line().path("verdict").path("by").asText().equals(ProcessFleet.name(giver)))
-                .map(ProcessFleet.Event::atMs).toList();
+        return rig.fleet.since(from).stream()
+                .filter(
+                        event ->
+                                event.seenBy() != giver
+                                        && event.line()
+                                                .path("fleet")
+                                                .asText()
+                                                .equals("verdict_taken")
+                                        && event.line()
+                                                .path("verdict")
+                                                .path("word")
+                                                .asText()
+                                                .equals(word)
+                                        && event.line()
+                                                .path("verdict")
+                                                .path("by")
+                                                .asText()
+                                                .equals(ProcessFleet.name(giver)))
+                .map(ProcessFleet.Event::atMs)
+                .toList();
     }
 
     private static void agree(LimitRig rig, int among, Integer... members) throws IOException {
@@ -112,15 +140,33 @@
         }
     }
 
-    /** Of so many seeded schedules of faults, those on which something that is promised did not hold. */
+    /**
+     * Of so many seeded schedules of faults, those on which something that is promised did not
+     * hold.
+     */
     private static long broken() {
-        return LongStream.range(0, SCHEDULES).parallel().filter(seed -> {
-            Random random = new Random(seed);
-            int members = 1 + random.nextInt(7);
-            List<Fault> faults = IntStream.range(0, random.nextInt(MOST_FAULTS + 1)).mapToObj(i -> new Fault(
-                    Kind.values()[random.nextInt(Kind.values().length)], random.nextInt(members),
-                    random.nextInt(members), random.nextInt(13), 1 + random.nextInt(8))).toList();
-            return !ShareLab.play(members, faults, seed).holds();
-        }).count();
+        return LongStream.range(0, SCHEDULES)
+                .parallel()
+                .filter(
+                        seed -> {
+                            Random random = new Random(seed);
+                            int members = 1 + random.nextInt(7);
+                            List<Fault> faults =
+                                    IntStream.range(0, random.nextInt(MOST_FAULTS + 1))
+                                            .mapToObj(
+                                                    i ->
+                                                            new Fault(
+                                                                    Kind.values()[
+                                                                            random.nextInt(
+                                                                                    Kind.values()
+                                                                                            .length)],
+                                                                    random.nextInt(members),
+                                                                    random.nextInt(members),
+                                                                    random.nextInt(13),
+                                                                    1 + random.nextInt(8)))
+                                            .toList();
+                            return !ShareLab.play(members, faults, seed).holds();
+                        })
+                .count();
     }
 }
--- a/src/test/java/cypressglade/share/FleetLimitsTest.java
+++ b/src/test/java/cypressglade/share/FleetLimitsTest.java
@@ -14,12 +14,15 @@
 /** Five processes of the program that share limits and verdicts, with faults between them. */
 class FleetLimitsTest {
     private static final Set<Integer> ALL = Set.of(0, 1, 2, 3, 4);
-    /** A cold node's unit takes so long: as the module takes one to take that it knows nothing of. */
+
+    /**
+     * A cold node's unit takes so long: as the module takes one to take that it knows nothing of.
+     */
     private static final double COLD_MS = 30;
+
     private static final Duration FALL = Duration.ofSeconds(1);
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private LimitRig rig;
 
     @BeforeEach
@@ -55,7 +58,9 @@
         assertThat(rig.overshoot()).isLessThanOrEqualTo(LimitRig.SLACK);
     }
 
-    /** All press on the cold node; one that holds a part of what it bears is killed and comes back. */
+    /**
+     * All press on the cold node; one that holds a part of what it bears is killed and comes back.
+     */
     @Test
     void aMemberThatIsKilledWithAPartOfALeaseTakesNoMoreWithIt() throws Exception {
         for (int member : ALL) {
@@ -72,7 +77,9 @@
         assertThat(rig.mostCold(FALL)).isLessThanOrEqualTo(2 * 2 * FALL.toMillis() / COLD_MS);
     }
 
-    /** A restart has a store of its own part of the slack, and reports no window of its former life. */
+    /**
+     * A restart has a store of its own part of the slack, and reports no window of its former life.
+     */
     @Test
     void aRestartInTheSurgeCountsNoWindowTwice() throws Exception {
         rig.surge(1, 16, LimitRig.VOLUME, "basic", 0);
@@ -97,10 +104,14 @@
         assertThat(rig.allHold(ALL, "member m-1", "evacuate")).isTrue();
         rig.fleet.kill(3);
         rig.fleet.start(3);
-        assertThat(rig.allHold(Set.of(3), "node s-1", "exclude")).as("kept, or told again").isTrue();
+        assertThat(rig.allHold(Set.of(3), "node s-1", "exclude"))
+                .as("kept, or told again")
+                .isTrue();
         assertThat(rig.fleet.call(4, "include s-1")).startsWith("200");
         assertThat(rig.allHold(ALL, "node s-1", "include")).isTrue();
-        assertThat(rig.fleet.call(0, "exclude s-9")).as("unknown, and told to nobody").startsWith("400");
+        assertThat(rig.fleet.call(0, "exclude s-9"))
+                .as("unknown, and told to nobody")
+                .startsWith("400");
         assertThat(rig.fleet.view(2).path("verdicts")).hasSize(2);
     }
 }
--- a/src/test/java/cypressglade/share/LimitRig.java
+++ b/src/test/java/cypressglade/share/LimitRig.java
@@ -23,20 +23,30 @@
 import java.util.stream.IntStream;
 
 /**
- * Five processes of the program that share the limit of a plan, fault links between them, two storage nodes (one
- * warm, one that has just started), and clients that ask for far more than the limit. What the nodes were sent is
- * held against one store of the whole limit.
+ * Five processes of the program that share the limit of a plan, fault links between them, two
+ * storage nodes (one warm, one that has just started), and clients that ask for far more than the
+ * limit. What the nodes were sent is held against one store of the whole limit.
  */
 final class LimitRig implements AutoCloseable {
     static final int MEMBERS = 5;
     static final Duration PERIOD = Duration.ofMillis(200);
-    static final Terms TERMS = new Terms(IntStream.range(0, MEMBERS).mapToObj(ProcessFleet::name)
-            .collect(Collectors.toSet()), 0.25, 2, Duration.ofMillis(500));
+    static final Terms TERMS =
+            new Terms(
+                    IntStream.range(0, MEMBERS)
+                            .mapToObj(ProcessFleet::name)
+                            .collect(Collectors.toSet()),
+                    0.25,
+                    2,
+                    Duration.ofMillis(500));
+
     /** Units a second, and at once. */
     static final double RATE = 200;
+
     static final double BURST = 100;
+
     /** As the pages have it: what the limit allows in 150 ms, and one of the largest requests. */
     static final double SLACK = RATE * 0.15 + 6;
+
     static final String VOLUME = "00000000000000aa";
     static final String OTHER = "00000000000000bb";
     static final Duration WAIT = Duration.ofSeconds(30);
@@ -49,16 +59,31 @@
     private final AtomicLong refused = new AtomicLong();
     private final List<Thread> threads = new ArrayList<>();
 
-    /** @param coldMs a unit at the cold node, which starts now */
+    /**
+     * @param coldMs a unit at the cold node, which starts now
+     */
     LimitRig(Path folder, double coldMs) throws Exception {
         cold = new StorageNode(coldMs, false);
-        String entries = Site.entry(0, warm.hostPort(), "active", 0) + ","
-                + Site.entry(1, cold.hostPort(), "active", System.currentTimeMillis());
-        fleet = new ProcessFleet(folder, MEMBERS, PERIOD, 23, text -> text
-                .replace(Site.entry(0, "127.0.0.1:10801", "active", 0), entries)
-                .replace("\"balancers\":1", "\"balancers\":" + MEMBERS)
-                .replace("\"neverOver\":1,\"limitBurst\":8", "\"neverOver\":" + RATE + ",\"limitBurst\":" + BURST),
-                Optional.of(TERMS));
+        String entries =
+                Site.entry(0, warm.hostPort(), "active", 0)
+                        + ","
+                        + Site.entry(1, cold.hostPort(), "active", System.currentTimeMillis());
+        fleet =
+                new ProcessFleet(
+                        folder,
+                        MEMBERS,
+                        PERIOD,
+                        23,
+                        text ->
+                                text.replace(Site.entry(0, "127.0.0.1:10801", "active", 0), entries)
+                                        .replace("\"balancers\":1", "\"balancers\":" + MEMBERS)
+                                        .replace(
+                                                "\"neverOver\":1,\"limitBurst\":8",
+                                                "\"neverOver\":"
+                                                        + RATE
+                                                        + ",\"limitBurst\":"
+                                                        + BURST),
+                        Optional.of(TERMS));
         fleet.act("0s delay * * 1ms..20ms");
         fleet.startAll(MEMBERS);
     }
@@ -70,18 +95,19 @@
 
     /** Waits until the members given are agreed among so many. */
     boolean agree(int among, Integer... members) throws IOException {
-        return until(() -> {
-            try {
-                for (int member : members) {
-                    if (agreed(member) != among) {
+        return until(
+                () -> {
+                    try {
+                        for (int member : members) {
+                            if (agreed(member) != among) {
+                                return false;
+                            }
+                        }
+                        return true;
+                    } catch (IOException notYet) {
                         return false;
                     }
-                }
-                return true;
-            } catch (IOException notYet) {
-                return false;
-            }
-        });
+                });
     }
 
     /** Waits for something that is bound to come. */
@@ -96,10 +122,13 @@
         return true;
     }
 
-    /** From now on so many clients of a member ask for one unit after the other, until it is closed. */
+    /**
+     * From now on so many clients of a member ask for one unit after the other, until it is closed.
+     */
     void surge(int member, int clients, String volume, String tier, int shard) {
         for (int i = 0; i < clients; i++) {
-            Thread thread = new Thread(() -> ask(member, volume, tier, shard), "client of " + member);
+            Thread thread =
+                    new Thread(() -> ask(member, volume, tier, shard), "client of " + member);
             thread.setDaemon(true);
             thread.start();
             threads.add(thread);
@@ -114,16 +143,32 @@
                 socket.setSoTimeout(2 * EXPIRES_MS);
                 DataInputStream in = new DataInputStream(socket.getInputStream());
                 while (!over.get()) {
-                    socket.getOutputStream().write(Site.request("GET", "/job-read/" + volume + "/"
-                            + String.format("%016x", ++key), Site.headers(EXPIRES_MS, tier, "units=1,shard="
-                                    + shard + ",hosts=" + MEMBERS), "").getBytes(StandardCharsets.ISO_8859_1));
+                    socket.getOutputStream()
+                            .write(
+                                    Site.request(
+                                                    "GET",
+                                                    "/job-read/"
+                                                            + volume
+                                                            + "/"
+                                                            + String.format("%016x", ++key),
+                                                    Site.headers(
+                                                            EXPIRES_MS,
+                                                            tier,
+                                                            "units=1,shard="
+                                                                    + shard
+                                                                    + ",hosts="
+                                                                    + MEMBERS),
+                                                    "")
+                                            .getBytes(StandardCharsets.ISO_8859_1));
                     if (HttpPeer.Message.read(in).status() != 200) {
                         refused.incrementAndGet();
                         fleet.pass(Duration.ofMillis(5));
                     }
                 }
             } catch (IOException gone) {
-                fleet.pass(Duration.ofMillis(50)); // its member was ended; the next one listens elsewhere
+                fleet.pass(
+                        Duration.ofMillis(
+                                50)); // its member was ended; the next one listens elsewhere
             }
         }
     }
@@ -134,9 +179,11 @@
 
     /** What came for the limited volume since a time, oldest first. */
     List<StorageNode.Arrival> sent(long sinceNanos) {
-        return List.of(warm, cold).stream().flatMap(node -> node.arrivals.stream())
+        return List.of(warm, cold).stream()
+                .flatMap(node -> node.arrivals.stream())
                 .filter(one -> one.volume().equals(VOLUME) && one.nanos() >= sinceNanos)
-                .sorted(Comparator.comparingLong(StorageNode.Arrival::nanos)).toList();
+                .sorted(Comparator.comparingLong(StorageNode.Arrival::nanos))
+                .toList();
     }
 
     /** Most units sent, in any span, beyond one store of the limit that was full at its start. */
@@ -150,7 +197,10 @@
         double least = BURST;
         long at = Long.MIN_VALUE;
         for (StorageNode.Arrival one : sent(sinceNanos)) {
-            level = at == Long.MIN_VALUE ? BURST : Math.min(BURST, level + RATE * (one.nanos() - at) / 1e9);
+            level =
+                    at == Long.MIN_VALUE
+                            ? BURST
+                            : Math.min(BURST, level + RATE * (one.nanos() - at) / 1e9);
             at = one.nanos();
             level -= one.units();
             least = Math.min(least, level);
@@ -161,13 +211,16 @@
     /** Units a second sent since a time, in parts of the limit. */
     double used(long sinceNanos) {
         return sent(sinceNanos).stream().mapToDouble(StorageNode.Arrival::units).sum()
-                / ((System.nanoTime() - sinceNanos) / 1e9) / RATE;
+                / ((System.nanoTime() - sinceNanos) / 1e9)
+                / RATE;
     }
 
     /** Most units that the cold node got in any span. */
     double mostCold(Duration span) {
-        List<StorageNode.Arrival> all = cold.arrivals.stream()
-                .sorted(Comparator.comparingLong(StorageNode.Arrival::nanos)).toList();
+        List<StorageNode.Arrival> all =
+                cold.arrivals.stream()
+                        .sorted(Comparator.comparingLong(StorageNode.Arrival::nanos))
+                        .toList();
         double most = 0;
         double sum = 0;
         int from = 0;
@@ -193,13 +246,17 @@
 
     /** Waits until all members given hold it. */
     boolean allHold(Set<Integer> members, String subject, String word) {
-        return until(() -> members.stream().allMatch(member -> {
-            try {
-                return holds(member, subject, word);
-            } catch (IOException notYet) {
-                return false;
-            }
-        }));
+        return until(
+                () ->
+                        members.stream()
+                                .allMatch(
+                                        member -> {
+                                            try {
+                                                return holds(member, subject, word);
+                                            } catch (IOException notYet) {
+                                                return false;
+                                            }
+                                        }));
     }
 
     @Override
--- a/src/test/java/cypressglade/share/SharingTest.java
+++ b/src/test/java/cypressglade/share/SharingTest.java
@@ -21,24 +21,44 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.constraints.IntRange;
 
-/** Parts that never add up to more than the whole, and verdicts that come to agree, whatever the links do. */
+/**
+ * Parts that never add up to more than the whole, and verdicts that come to agree, whatever the
+ * links do.
+ */
 class SharingTest {
     private static final double ROUNDING = 1e-9;
     private static final Set<String> ROSTER = Set.of("a", "b", "c", "d", "e");
 
     @Provide
     Arbitrary<List<Fault>> faults() {
-        return Combinators.combine(Arbitraries.of(Kind.class), Arbitraries.integers().between(0, 6),
-                Arbitraries.integers().between(0, 6), Arbitraries.integers().between(0, 12),
-                Arbitraries.integers().between(1, 8)).as(Fault::new).list().ofMaxSize(16);
+        return Combinators.combine(
+                        Arbitraries.of(Kind.class),
+                        Arbitraries.integers().between(0, 6),
+                        Arbitraries.integers().between(0, 6),
+                        Arbitraries.integers().between(0, 12),
+                        Arbitraries.integers().between(1, 8))
+                .as(Fault::new)
+                .list()
+                .ofMaxSize(16);
     }
 
     /** A failure is reduced by jqwik to the fewest and shortest faults that still show it. */
     @Property(tries = 2000, seed = "20261201")
-    void noScheduleOvershootsAndEachSettles(@ForAll @IntRange(min = 1, max = 7) int members,
-            @ForAll("faults") List<Fault> faults, @ForAll long seed) {
-        List<Fault> here = faults.stream().map(fault -> new Fault(fault.kind(), fault.one() % members,
-                fault.other() % members, fault.from(), fault.span())).toList();
+    void noScheduleOvershootsAndEachSettles(
+            @ForAll @IntRange(min = 1, max = 7) int members,
+            @ForAll("faults") List<Fault> faults,
+            @ForAll long seed) {
+        List<Fault> here =
+                faults.stream()
+                        .map(
+                                fault ->
+                                        new Fault(
+                                                fault.kind(),
+                                                fault.one() % members,
+                                                fault.other() % members,
+                                                fault.from(),
+                                                fault.span()))
+                        .toList();
         Found found = ShareLab.play(members, here, seed);
         assertThat(found.holds()).as("%s", found).isTrue();
     }
@@ -57,8 +77,13 @@
         Shares a = shares("a");
         Shares e = shares("e");
         for (Shares each : List.of(a, e)) {
-            List.of(report("a", side, 6), report("b", side, 2), report("c", side, 0),
-                    report("d", Set.of("d", "e"), 50), report("e", Set.of("d", "e"), 50)).forEach(each::take);
+            List.of(
+                            report("a", side, 6),
+                            report("b", side, 2),
+                            report("c", side, 0),
+                            report("d", Set.of("d", "e"), 50),
+                            report("e", Set.of("d", "e"), 50))
+                    .forEach(each::take);
         }
         assertThat(a.part("v", 6)).isEqualTo(0.05 + 0.75 * 6 / 8, offset(ROUNDING));
         assertThat(a.part("other", 6)).isEqualTo(0.05 + 0.75 / 3, offset(ROUNDING));
@@ -96,7 +121,8 @@
         Verdicts b = new Verdicts("b", List.of());
         assertThat(b.take(exclude)).isTrue();
         assertThat(b.take(exclude)).isFalse();
-        Verdict include = b.give("node s-1", "include", Instant.ofEpochSecond(3)); // its clock is behind
+        Verdict include =
+                b.give("node s-1", "include", Instant.ofEpochSecond(3)); // its clock is behind
         assertThat(a.take(include)).isTrue();
         assertThat(a.take(exclude)).isFalse();
         Verdicts again = new Verdicts("a", a.all());
--- a/src/test/java/cypressglade/snapshot/SnapshotStoreTest.java
+++ b/src/test/java/cypressglade/snapshot/SnapshotStoreTest.java
@@ -20,8 +20,7 @@
     private static final Instant WALL = Instant.parse("2026-06-01T12:00:00Z");
     private static final Duration MOST_AGE = Duration.ofMinutes(2);
 
-    @TempDir
-    private Path directory;
+    @TempDir private Path directory;
     private SnapshotStore store;
     private Path current;
 
@@ -40,13 +39,18 @@
     @Test
     void twoGenerationsAreKeptTheNewestFirst() throws IOException {
         store.write(new byte[] {3}, WALL);
-        assertThat(store.read(WALL.plusSeconds(5), MOST_AGE)).extracting(found -> found.body()[0])
+        assertThat(store.read(WALL.plusSeconds(5), MOST_AGE))
+                .extracting(found -> found.body()[0])
                 .containsExactly((byte) 3, (byte) 2);
-        assertThat(store.read(WALL.plusSeconds(5), MOST_AGE).get(0).age()).isEqualTo(Duration.ofSeconds(5));
+        assertThat(store.read(WALL.plusSeconds(5), MOST_AGE).get(0).age())
+                .isEqualTo(Duration.ofSeconds(5));
         assertThat(Files.getPosixFilePermissions(current)).hasSize(2);
     }
 
-    /** Cut at every byte, and one bit changed at every byte: never taken for whole, and the older one is. */
+    /**
+     * Cut at every byte, and one bit changed at every byte: never taken for whole, and the older
+     * one is.
+     */
     @Test
     void tornAndChangedFilesAreNeverTaken() throws IOException {
         byte[] whole = Files.readAllBytes(current);
@@ -62,13 +66,24 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"0, NONE", "120, NONE", "121, TOO_OLD", "-1, NONE", "-3, FROM_THE_FUTURE", "-600, FROM_THE_FUTURE"})
+    @CsvSource({
+        "0, NONE",
+        "120, NONE",
+        "121, TOO_OLD",
+        "-1, NONE",
+        "-3, FROM_THE_FUTURE",
+        "-600, FROM_THE_FUTURE"
+    })
     void ageByTheWallClockIsJudged(int seconds, Fault fault) {
-        assertThat(store.read(WALL.plusSeconds(seconds), MOST_AGE)).extracting(SnapshotStore.Found::fault)
+        assertThat(store.read(WALL.plusSeconds(seconds), MOST_AGE))
+                .extracting(SnapshotStore.Found::fault)
                 .containsOnly(fault);
     }
 
-    /** A stop between the two renames, one while the temporary file is written, and files that are no files. */
+    /**
+     * A stop between the two renames, one while the temporary file is written, and files that are
+     * no files.
+     */
     @Test
     void stopAtAnyStepLeavesAGeneration() throws IOException {
         Files.write(directory.resolve("x.snap.tmp"), new byte[] {9});
--- a/src/test/java/cypressglade/standin/HttpPeer.java
+++ b/src/test/java/cypressglade/standin/HttpPeer.java
@@ -30,7 +30,9 @@
             Map<String, String> headers = new TreeMap<>();
             for (String line = line(in); !line.isEmpty(); line = line(in)) {
                 int colon = line.indexOf(':');
-                headers.put(line.substring(0, colon).toLowerCase(Locale.ROOT), line.substring(colon + 1).trim());
+                headers.put(
+                        line.substring(0, colon).toLowerCase(Locale.ROOT),
+                        line.substring(colon + 1).trim());
             }
             byte[] body = new byte[Integer.parseInt(headers.getOrDefault("content-length", "0"))];
             in.readFully(body);
@@ -56,8 +58,17 @@
 
     /** An answer whose body has a length. */
     public static Script answer(int status, String headers, String body) {
-        return (request, out) -> write(out, "HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: "
-                + body.length() + "\r\n\r\n" + body);
+        return (request, out) ->
+                write(
+                        out,
+                        "HTTP/1.1 "
+                                + status
+                                + " X\r\n"
+                                + headers
+                                + "Content-Length: "
+                                + body.length()
+                                + "\r\n\r\n"
+                                + body);
     }
 
     public static void write(DataOutputStream out, String text) throws IOException {
--- a/src/test/java/cypressglade/standin/NbdPeer.java
+++ b/src/test/java/cypressglade/standin/NbdPeer.java
@@ -5,16 +5,18 @@
 import java.io.IOException;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** An NBD server over an array, after the public specification; a script can take over any command. */
+/**
+ * An NBD server over an array, after the public specification; a script can take over any command.
+ */
 public final class NbdPeer extends StandIn {
     public final LinkedBlockingQueue<Command> commands = new LinkedBlockingQueue<>();
     public final byte[] disk;
     public volatile Script script = NbdPeer::serve;
-    public volatile Gate beforeGo = () -> { };
+    public volatile Gate beforeGo = () -> {};
     private final boolean modern;
 
     /** A command as it came. */
-    public record Command(int type, long cookie, long offset, int length) { }
+    public record Command(int type, long cookie, long offset, int length) {}
 
     /** Answers a command; throwing ends the connection. */
     public interface Script {
@@ -33,7 +35,8 @@
     }
 
     /** The ordinary answer. */
-    public static void serve(NbdPeer peer, Command command, DataOutputStream out) throws IOException {
+    public static void serve(NbdPeer peer, Command command, DataOutputStream out)
+            throws IOException {
         if (!peer.modern) {
             simple(command, 0, out);
             if (command.type() == 0) {
@@ -81,7 +84,8 @@
             out.flush();
             in.readInt();
             in.readShort();
-            Command command = new Command(in.readUnsignedShort(), in.readLong(), in.readLong(), in.readInt());
+            Command command =
+                    new Command(in.readUnsignedShort(), in.readLong(), in.readLong(), in.readInt());
             if (command.type() == 1) {
                 in.readFully(disk, (int) command.offset(), command.length());
             } else if (command.type() == 2) {
@@ -114,7 +118,8 @@
         return modern && option == 7;
     }
 
-    private static void reply(int option, int type, int length, DataOutputStream out) throws IOException {
+    private static void reply(int option, int type, int length, DataOutputStream out)
+            throws IOException {
         out.writeLong(0x3e889045565a9L);
         out.writeInt(option);
         out.writeInt(type);
--- a/src/test/java/cypressglade/standin/OutageNode.java
+++ b/src/test/java/cypressglade/standin/OutageNode.java
@@ -11,8 +11,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A storage node that can be away, breaking what is open, and comes back slower than it was for a while. Counts
- * how often each piece was run: a request that came whole has run, whether its answer got through or not.
+ * A storage node that can be away, breaking what is open, and comes back slower than it was for a
+ * while. Counts how often each piece was run: a request that came whole has run, whether its answer
+ * got through or not.
  */
 public final class OutageNode extends StandIn {
     private static final int LANES = 2;
@@ -20,8 +21,10 @@
     private static final double RAMP_NS = 5e9;
 
     public final Map<String, Integer> runs = new ConcurrentHashMap<>();
+
     /** When requests came since the node was back, on the JVM's own clock. */
     public final Queue<Long> sinceBack = new ConcurrentLinkedQueue<>();
+
     private final double millis;
     private final int losesEvery;
     private final AtomicInteger answers = new AtomicInteger();
@@ -29,7 +32,10 @@
     private volatile boolean away;
     private volatile long back;
 
-    /** One that takes so long for a request when it is warm, and loses every so manyth answer, 0 for none. */
+    /**
+     * One that takes so long for a request when it is warm, and loses every so manyth answer, 0 for
+     * none.
+     */
     public OutageNode(double millis, int losesEvery) {
         this.millis = millis;
         this.losesEvery = losesEvery;
--- a/src/test/java/cypressglade/standin/Site.java
+++ b/src/test/java/cypressglade/standin/Site.java
@@ -31,8 +31,10 @@
 
     /** Lines put here go out on the watch. */
     public final LinkedBlockingQueue<String> lists = new LinkedBlockingQueue<>();
+
     /** Whether the open watch says nothing any more, not even that it lives. */
     public volatile boolean silent;
+
     public final HttpPeer discovery = new HttpPeer(this::watch);
     public final Config config;
     public final Serve serve;
@@ -42,8 +44,11 @@
     }
 
     public Site(List<String> addresses, OperatorFiles files) throws Exception {
-        this(IntStream.range(0, addresses.size()).mapToObj(i -> entry(i, addresses.get(i), "active", 0))
-                .collect(Collectors.joining(",")), files);
+        this(
+                IntStream.range(0, addresses.size())
+                        .mapToObj(i -> entry(i, addresses.get(i), "active", 0))
+                        .collect(Collectors.joining(",")),
+                files);
     }
 
     /** One with the nodes of the given entries. */
@@ -52,25 +57,39 @@
     }
 
     /** One whose configuration is changed before it starts. */
-    public Site(String entries, OperatorFiles files, UnaryOperator<Config> change) throws Exception {
+    public Site(String entries, OperatorFiles files, UnaryOperator<Config> change)
+            throws Exception {
         this(entries, files, change, UnaryOperator.identity());
     }
 
     /** One whose configuration is the example's text, edited, and then changed before it starts. */
-    public Site(String entries, OperatorFiles files, UnaryOperator<Config> change, UnaryOperator<String> text)
+    public Site(
+            String entries,
+            OperatorFiles files,
+            UnaryOperator<Config> change,
+            UnaryOperator<String> text)
             throws Exception {
         config = change.apply(config(entries, discovery.hostPort(), text));
         serve = new Serve(config, files);
         serve.start();
-        await(() -> serve.counters().get(cypressglade.core.Counters.Name.LISTS) >= 2); // the known, and the first
+        await(
+                () ->
+                        serve.counters().get(cypressglade.core.Counters.Name.LISTS)
+                                >= 2); // the known, and the first
     }
 
-    /** A watch as discovery's agent has it: what changed is told at once, and a sign of life while nothing does. */
+    /**
+     * A watch as discovery's agent has it: what changed is told at once, and a sign of life while
+     * nothing does.
+     */
     private void watch(HttpPeer.Message request, DataOutputStream out) throws Exception {
         int mine = watches.incrementAndGet();
         HttpPeer.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        chunk(out, "{\"version\":" + request.first().replaceAll(".*index=(\\d+).*", "$1")
-                + ",\"full\":false,\"servers\":[]}\n");
+        chunk(
+                out,
+                "{\"version\":"
+                        + request.first().replaceAll(".*index=(\\d+).*", "$1")
+                        + ",\"full\":false,\"servers\":[]}\n");
         while (watches.get() == mine) {
             String line = lists.poll(1, TimeUnit.SECONDS);
             if (line != null && line.startsWith(END)) {
@@ -85,8 +104,13 @@
 
     /** A line in two chunks, as it may come. */
     private static void chunk(DataOutputStream out, String line) throws IOException {
-        for (String part : List.of(line.substring(0, line.length() / 2), line.substring(line.length() / 2))) {
-            HttpPeer.write(out, part.isEmpty() ? "" : Integer.toHexString(part.length()) + "\r\n" + part + "\r\n");
+        for (String part :
+                List.of(line.substring(0, line.length() / 2), line.substring(line.length() / 2))) {
+            HttpPeer.write(
+                    out,
+                    part.isEmpty()
+                            ? ""
+                            : Integer.toHexString(part.length()) + "\r\n" + part + "\r\n");
         }
     }
 
@@ -96,12 +120,15 @@
     }
 
     /** The same, from the example's text after an edit. */
-    public static Config config(String entries, String discovery, UnaryOperator<String> text) throws Exception {
+    public static Config config(String entries, String discovery, UnaryOperator<String> text)
+            throws Exception {
         Path file = Files.createTempFile("config", ".json");
         try {
             String example = text.apply(Files.readString(Path.of("deploy/config.example.json")));
-            Files.writeString(file, example.replace("127.0.0.1:8500", discovery)
-                    .replace(entry(0, "127.0.0.1:10801", "active", 0), entries));
+            Files.writeString(
+                    file,
+                    example.replace("127.0.0.1:8500", discovery)
+                            .replace(entry(0, "127.0.0.1:10801", "active", 0), entries));
             return Config.read(file);
         } finally {
             Files.delete(file);
@@ -110,8 +137,17 @@
 
     /** One node of a list; the start in milliseconds since the epoch, 0 for long ago. */
     public static String entry(int node, String address, String state, long startedMs) {
-        return "{\"id\":\"s-" + node + "\",\"addr\":\"" + address + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":"
-                + node + ",\"state\":\"" + state + "\",\"weight\":1.0,\"started_ms\":" + startedMs + "}";
+        return "{\"id\":\"s-"
+                + node
+                + "\",\"addr\":\""
+                + address
+                + "\",\"zone\":\"a\",\"kind\":\"m\",\"cell\":"
+                + node
+                + ",\"state\":\""
+                + state
+                + "\",\"weight\":1.0,\"started_ms\":"
+                + startedMs
+                + "}";
     }
 
     /** Tells a change of one node's state, and waits until it is taken in. */
@@ -122,8 +158,7 @@
     /** Tells a changed entry, and waits until it is taken in. */
     public void tell(int version, String entry) {
         long before = serve.counters().get(cypressglade.core.Counters.Name.LISTS);
-        lists.add("{\"version\":" + version + ",\"full\":false,\"servers\":["
-                + entry + "]}");
+        lists.add("{\"version\":" + version + ",\"full\":false,\"servers\":[" + entry + "]}");
         await(() -> serve.counters().get(cypressglade.core.Counters.Name.LISTS) > before);
     }
 
@@ -144,13 +179,14 @@
 
     /** Stops the scheduler as SIGTERM does, beside the test. */
     public CompletableFuture<Void> drain() {
-        return CompletableFuture.runAsync(() -> {
-            try {
-                serve.drain();
-            } catch (InterruptedException cut) {
-                throw new IllegalStateException(cut);
-            }
-        });
+        return CompletableFuture.runAsync(
+                () -> {
+                    try {
+                        serve.drain();
+                    } catch (InterruptedException cut) {
+                        throw new IllegalStateException(cut);
+                    }
+                });
     }
 
     public Socket connect() throws IOException {
@@ -161,14 +197,26 @@
 
     /** A request; where its headers leave the id open, each has a new one. */
     public static String request(String method, String path, String headers, String body) {
-        return method + " " + path + " HTTP/1.1\r\nHost: x\r\n"
+        return method
+                + " "
+                + path
+                + " HTTP/1.1\r\nHost: x\r\n"
                 + headers.replace(NEW_ID, Long.toHexString(IDS.incrementAndGet()))
-                + (body.isEmpty() ? "" : "Content-Length: " + body.length() + "\r\n") + "\r\n" + body;
+                + (body.isEmpty() ? "" : "Content-Length: " + body.length() + "\r\n")
+                + "\r\n"
+                + body;
     }
 
     public static String headers(int expiresMs, String tier, String info) {
-        return "X-Trace-Id: " + NEW_ID + "\r\nTier: " + tier + "\r\nX-Expires-In-Ms: " + expiresMs
-                + "\r\nIO-Info: " + info + "\r\n";
+        return "X-Trace-Id: "
+                + NEW_ID
+                + "\r\nTier: "
+                + tier
+                + "\r\nX-Expires-In-Ms: "
+                + expiresMs
+                + "\r\nIO-Info: "
+                + info
+                + "\r\n";
     }
 
     public HttpPeer.Message ask(String request) throws IOException {
--- a/src/test/java/cypressglade/standin/StandIn.java
+++ b/src/test/java/cypressglade/standin/StandIn.java
@@ -12,7 +12,10 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A small server on a loopback port of its own, one thread a connection; each kind says what it speaks. */
+/**
+ * A small server on a loopback port of its own, one thread a connection; each kind says what it
+ * speaks.
+ */
 public abstract class StandIn implements AutoCloseable {
     public final AtomicInteger connections = new AtomicInteger();
     private final ServerSocket server;
@@ -63,7 +66,9 @@
     private void serve(Socket socket) {
         try (socket) {
             try {
-                talk(new DataInputStream(socket.getInputStream()), new DataOutputStream(new BufferedOutputStream(socket.getOutputStream())));
+                talk(
+                        new DataInputStream(socket.getInputStream()),
+                        new DataOutputStream(new BufferedOutputStream(socket.getOutputStream())));
             } catch (Reset reset) {
                 socket.setSoLinger(true, 0);
             }
--- a/src/test/java/cypressglade/standin/StorageNode.java
+++ b/src/test/java/cypressglade/standin/StorageNode.java
@@ -12,12 +12,13 @@
 
     /** Each request as it came, probes apart. */
     public final Queue<Arrival> arrivals = new ConcurrentLinkedQueue<>();
+
     public volatile double msPerUnit;
     public volatile boolean silent;
     private final Semaphore lanes = new Semaphore(LANES, true);
 
     /** When, on the JVM's own clock, on whose volume, and of how many units. */
-    public record Arrival(long nanos, String volume, double units) { }
+    public record Arrival(long nanos, String volume, double units) {}
 
     public StorageNode(double msPerUnit, boolean silent) {
         this.msPerUnit = msPerUnit;
@@ -52,7 +53,9 @@
 
     /** Units that came for a volume since a time. */
     public double units(String volume, long sinceNanos) {
-        return arrivals.stream().filter(one -> one.volume().equals(volume) && one.nanos() >= sinceNanos)
-                .mapToDouble(Arrival::units).sum();
+        return arrivals.stream()
+                .filter(one -> one.volume().equals(volume) && one.nanos() >= sinceNanos)
+                .mapToDouble(Arrival::units)
+                .sum();
     }
 }
--- a/src/test/java/cypressglade/storm/DoubtsTest.java
+++ b/src/test/java/cypressglade/storm/DoubtsTest.java
@@ -25,9 +25,15 @@
     void aSecondTryOfAWriteInDoubtIsNotSent() {
         doubts.add(write(1, false, Effect.TWICE), now, now);
         assertThat(doubts.twice(write(1, true, Effect.TWICE), now)).isTrue();
-        assertThat(doubts.twice(write(1, false, Effect.TWICE), now)).as("a new write of the piece").isFalse();
-        assertThat(doubts.twice(write(2, true, Effect.TWICE), now)).as("of another piece").isFalse();
-        assertThat(doubts.twice(write(1, true, Effect.TWICE), now.plus(SPAN))).as("nobody comes any more").isFalse();
+        assertThat(doubts.twice(write(1, false, Effect.TWICE), now))
+                .as("a new write of the piece")
+                .isFalse();
+        assertThat(doubts.twice(write(2, true, Effect.TWICE), now))
+                .as("of another piece")
+                .isFalse();
+        assertThat(doubts.twice(write(1, true, Effect.TWICE), now.plus(SPAN)))
+                .as("nobody comes any more")
+                .isFalse();
     }
 
     @Test
@@ -36,7 +42,8 @@
         doubts.add(write(1, true, Effect.DROPPED), now.plusSeconds(1), now.plusSeconds(1));
         assertThat(doubts.twice(write(1, true, Effect.DROPPED), now.plusMillis(1499))).isFalse();
         assertThat(doubts.twice(write(1, true, Effect.DROPPED), now.plusMillis(1500)))
-                .as("from the first run on, however often it was tried").isTrue();
+                .as("from the first run on, however often it was tried")
+                .isTrue();
     }
 
     @Test
@@ -53,7 +60,9 @@
         }
         assertThat(doubts.size()).isEqualTo(4);
         assertThat(doubts.twice(write(0, true, Effect.TWICE), now)).as("the one let go").isTrue();
-        assertThat(doubts.twice(write(9, true, Effect.TWICE), now)).as("any, as it may be that one").isTrue();
+        assertThat(doubts.twice(write(9, true, Effect.TWICE), now))
+                .as("any, as it may be that one")
+                .isTrue();
         assertThat(doubts.twice(write(9, false, Effect.TWICE), now)).as("no first try").isFalse();
         assertThat(doubts.twice(write(9, true, Effect.TWICE), now.plus(SPAN))).isFalse();
         assertThat(doubts.twice(write(4, true, Effect.TWICE), now.plus(SPAN))).as("held").isTrue();
@@ -75,7 +84,8 @@
 
         assertThatThrownBy(() -> next.restore(Arrays.copyOf(kept, kept.length - 1)))
                 .isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> next.restore(new byte[3])).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> next.restore(new byte[3]))
+                .isInstanceOf(IllegalArgumentException.class);
         assertThat(next.size()).isEqualTo(1);
     }
 }
--- a/src/test/java/cypressglade/storm/IntakeTest.java
+++ b/src/test/java/cypressglade/storm/IntakeTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Connections at once, by how late the reading runs: a model in which a round takes so long for each of them. */
+/**
+ * Connections at once, by how late the reading runs: a model in which a round takes so long for
+ * each of them.
+ */
 class IntakeTest {
     private static final int LEAST = 32;
     private static final int MOST = 500;
@@ -16,7 +19,9 @@
     private final Intake intake = new Intake(LEAST, LATE);
     private int open;
 
-    /** So many looks, with as many connections as may be; the mean lateness of the last half, in ms. */
+    /**
+     * So many looks, with as many connections as may be; the mean lateness of the last half, in ms.
+     */
     private double play(int looks, double msEach) {
         double sum = 0;
         for (int i = 0; i < looks; i++) {
--- a/src/test/java/cypressglade/storm/StormMeasure.java
+++ b/src/test/java/cypressglade/storm/StormMeasure.java
@@ -26,9 +26,9 @@
 import java.util.stream.IntStream;
 
 /**
- * {@code make measure-storms}: an outage of half of the nodes on real sockets at twice the normal load, with
- * what is done about storms and without; the same at 100 schedulers, 1,000 nodes and 100,000 clients in the
- * model; and what a decision costs at 10, 100 and 1,000 nodes.
+ * {@code make measure-storms}: an outage of half of the nodes on real sockets at twice the normal
+ * load, with what is done about storms and without; the same at 100 schedulers, 1,000 nodes and
+ * 100,000 clients in the model; and what a decision costs at 10, 100 and 1,000 nodes.
  */
 public final class StormMeasure {
     private static final int NODES = 4;
@@ -37,7 +37,8 @@
     private static final int CLIENTS = 128;
     private static final int MOST_TRIES = 12;
     private static final int EXPIRES_MS = 700;
-    private static final Duration THINK = Duration.ofMillis(60); // twice the normal load: half of all nodes' speed
+    private static final Duration THINK =
+            Duration.ofMillis(60); // twice the normal load: half of all nodes' speed
     private static final int OUT_FROM_S = 3;
     private static final int OUT_TO_S = 8;
     private static final int SPAN_S = 16;
@@ -59,11 +60,14 @@
             return served[habit].sum() / (double) Math.max(1, asked[habit].sum());
         }
 
-        /** Seconds from the outage's end until three seconds together serve 95% of what was before. */
+        /**
+         * Seconds from the outage's end until three seconds together serve 95% of what was before.
+         */
         private double recovery() {
             double before = IntStream.range(1, OUT_FROM_S).map(perSecond::get).average().orElse(0);
             for (int second = OUT_TO_S; second + 3 <= SPAN_S; second++) {
-                if (IntStream.range(second, second + 3).map(perSecond::get).average().orElse(0) >= 0.95 * before) {
+                if (IntStream.range(second, second + 3).map(perSecond::get).average().orElse(0)
+                        >= 0.95 * before) {
                     return second - OUT_TO_S;
                 }
             }
@@ -109,11 +113,16 @@
         for (int i = 0; i < NODES; i++) {
             nodes.add(new OutageNode(NODE_MS, LOSES_EVERY));
         }
-        String entries = IntStream.range(0, NODES).mapToObj(i -> Site.entry(i, nodes.get(i).hostPort(), "active", 0))
-                .collect(Collectors.joining(","));
+        String entries =
+                IntStream.range(0, NODES)
+                        .mapToObj(i -> Site.entry(i, nodes.get(i).hostPort(), "active", 0))
+                        .collect(Collectors.joining(","));
         Run run = new Run();
-        try (Site site = new Site(entries, new OperatorFiles(Optional.empty(), Optional.empty(), Optional.empty(),
-                storms))) {
+        try (Site site =
+                new Site(
+                        entries,
+                        new OperatorFiles(
+                                Optional.empty(), Optional.empty(), Optional.empty(), storms))) {
             long start = System.nanoTime();
             long end = start + TimeUnit.SECONDS.toNanos(SPAN_S);
             List<Thread> clients = new ArrayList<>();
@@ -133,12 +142,19 @@
             }
             for (int i = 0; i < NODES / 2; i++) {
                 nodes.get(i).away(false);
-                site.tell(50 + i, Site.entry(i, nodes.get(i).hostPort(), "active", System.currentTimeMillis()));
+                site.tell(
+                        50 + i,
+                        Site.entry(
+                                i, nodes.get(i).hostPort(), "active", System.currentTimeMillis()));
             }
             for (Thread client : clients) {
                 client.join();
             }
-            run.twice = nodes.stream().flatMap(node -> node.runs.values().stream()).filter(runs -> runs > 1).count();
+            run.twice =
+                    nodes.stream()
+                            .flatMap(node -> node.runs.values().stream())
+                            .filter(runs -> runs > 1)
+                            .count();
             run.overshoot = nodes.stream().mapToDouble(StormMeasure::overshoot).max().orElse(0);
         } finally {
             for (OutageNode node : nodes) {
@@ -148,7 +164,10 @@
         return run;
     }
 
-    /** The most that came in a second since the node was back, of twice what it could do at that time. */
+    /**
+     * The most that came in a second since the node was back, of twice what it could do at that
+     * time.
+     */
     private static double overshoot(OutageNode node) {
         long[] came = node.sinceBack.stream().mapToLong(Long::longValue).sorted().toArray();
         double most = 0;
@@ -175,33 +194,59 @@
             sleepUntil(start + random.nextLong(THINK.toNanos()));
             while (System.nanoTime() < end) {
                 int shard = random.nextInt(NODES);
-                String path = "/job-write/" + String.format("%016x", number % 16) + "/"
-                        + String.format("%016x", random.nextLong());
+                String path =
+                        "/job-write/"
+                                + String.format("%016x", number % 16)
+                                + "/"
+                                + String.format("%016x", random.nextLong());
                 run.asked[deaf].increment();
                 run.writes.increment();
                 for (int tries = 0; tries < MOST_TRIES && System.nanoTime() < end; tries++) {
                     Message answer = null;
                     try {
                         socket = socket == null ? site.connect() : socket;
-                        socket.getOutputStream().write(Site.request("PUT", path, Site.headers(EXPIRES_MS, "standard",
-                                "units=1,shard=" + shard + ",hosts=1") + (tries > 0 ? "X-Second-Try: 1\r\n" : ""),
-                                "data").getBytes(StandardCharsets.US_ASCII));
+                        socket.getOutputStream()
+                                .write(
+                                        Site.request(
+                                                        "PUT",
+                                                        path,
+                                                        Site.headers(
+                                                                        EXPIRES_MS,
+                                                                        "standard",
+                                                                        "units=1,shard="
+                                                                                + shard
+                                                                                + ",hosts=1")
+                                                                + (tries > 0
+                                                                        ? "X-Second-Try: 1\r\n"
+                                                                        : ""),
+                                                        "data")
+                                                .getBytes(StandardCharsets.US_ASCII));
                         answer = Message.read(new DataInputStream(socket.getInputStream()));
                     } catch (IOException closed) {
                         closeQuietly(socket);
                         socket = null;
                     }
-                    if (answer != null && answer.headers().getOrDefault("connection", "").equals("close")) {
+                    if (answer != null
+                            && answer.headers().getOrDefault("connection", "").equals("close")) {
                         closeQuietly(socket);
                         socket = null;
                     }
                     if (answer != null && answer.status() == 200) {
                         run.served[deaf].increment();
-                        run.perSecond.incrementAndGet((int) Math.min(SPAN_S, (System.nanoTime() - start) / 1_000_000_000L));
+                        run.perSecond.incrementAndGet(
+                                (int)
+                                        Math.min(
+                                                SPAN_S,
+                                                (System.nanoTime() - start) / 1_000_000_000L));
                         break;
                     }
-                    double wait = answer == null ? 0 : Double.parseDouble(answer.headers().getOrDefault("retry-after", "0"));
-                    TimeUnit.MICROSECONDS.sleep(deaf == 1 ? 5_000 : (long) (1e6 * Math.max(0.005, wait)));
+                    double wait =
+                            answer == null
+                                    ? 0
+                                    : Double.parseDouble(
+                                            answer.headers().getOrDefault("retry-after", "0"));
+                    TimeUnit.MICROSECONDS.sleep(
+                            deaf == 1 ? 5_000 : (long) (1e6 * Math.max(0.005, wait)));
                 }
                 TimeUnit.NANOSECONDS.sleep((long) (THINK.toNanos() * (0.5 + random.nextDouble())));
             }
@@ -225,14 +270,33 @@
     // ---- the model
 
     private void model() {
-        Scene scene = new Scene(100, 1000, 100_000, 20, 0.6,
-                Arrays.asList(Habit.HEEDS, Habit.AT_ONCE, Habit.FIXED, Habit.EXPONENTIAL),
-                List.of(new Outage(0, 200, Duration.ofSeconds(10), Duration.ofSeconds(20))), Duration.ofSeconds(50),
-                Optional.of(Terms.USUAL), 7);
+        Scene scene =
+                new Scene(
+                        100,
+                        1000,
+                        100_000,
+                        20,
+                        0.6,
+                        Arrays.asList(Habit.HEEDS, Habit.AT_ONCE, Habit.FIXED, Habit.EXPONENTIAL),
+                        List.of(new Outage(0, 200, Duration.ofSeconds(10), Duration.ofSeconds(20))),
+                        Duration.ofSeconds(50),
+                        Optional.of(Terms.USUAL),
+                        7);
         StormLab.Result on = new StormLab(scene).play();
-        StormLab.Result off = new StormLab(new Scene(scene.schedulers(), scene.nodes(), scene.clients(),
-                scene.speed(), scene.load(), scene.habits(), scene.outages(), scene.span(), Optional.empty(),
-                scene.seed())).play();
+        StormLab.Result off =
+                new StormLab(
+                                new Scene(
+                                        scene.schedulers(),
+                                        scene.nodes(),
+                                        scene.clients(),
+                                        scene.speed(),
+                                        scene.load(),
+                                        scene.habits(),
+                                        scene.outages(),
+                                        scene.span(),
+                                        Optional.empty(),
+                                        scene.seed()))
+                        .play();
         figures.atLeast("model_recovered", on.recoveryS() >= 0 ? 1 : 0, 1);
         figures.atMost("model_recovery_s", on.recoveryS(), MOST_RECOVERY_S);
         figures.say("model_recovery_s_off", off.recoveryS()); // -1: not in the 30 s that are played
--- a/src/test/java/cypressglade/storm/StormsTest.java
+++ b/src/test/java/cypressglade/storm/StormsTest.java
@@ -19,7 +19,10 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** What is done about second tries: states, slots, and whom they are for; all in time that the test gives. */
+/**
+ * What is done about second tries: states, slots, and whom they are for; all in time that the test
+ * gives.
+ */
 class StormsTest {
     private static final Duration LONGEST = Duration.ofSeconds(1);
     private static final double SPEED = 100;
@@ -30,30 +33,60 @@
     private final Storms storms = storms(1);
 
     private Storms storms(long seed) {
-        Storms made = new Storms(Terms.USUAL, new SplittableRandom(seed), new Storms.Out() {
-            @Override
-            public void turned(String place, State state, Instant at) {
-                turns.add(place + " " + state);
-            }
+        Storms made =
+                new Storms(
+                        Terms.USUAL,
+                        new SplittableRandom(seed),
+                        new Storms.Out() {
+                            @Override
+                            public void turned(String place, State state, Instant at) {
+                                turns.add(place + " " + state);
+                            }
 
-            @Override
-            public void counted(Count what) {
-                counts.merge(what, 1, Integer::sum);
-            }
-        }, now);
+                            @Override
+                            public void counted(Count what) {
+                                counts.merge(what, 1, Integer::sum);
+                            }
+                        },
+                        now);
         made.longest(LONGEST);
-        made.speeds(Map.of(0, new Speed(SPEED, Double.POSITIVE_INFINITY), 1,
-                new Speed(SPEED, Double.POSITIVE_INFINITY)));
+        made.speeds(
+                Map.of(
+                        0,
+                        new Speed(SPEED, Double.POSITIVE_INFINITY),
+                        1,
+                        new Speed(SPEED, Double.POSITIVE_INFINITY)));
         return made;
     }
 
     private static Try first(int shard, long volume, long piece) {
-        return new Try(shard, volume, 1, piece, 0, 2, false, Try.Effect.NONE, 0, Duration.ZERO, Instant.MAX);
+        return new Try(
+                shard,
+                volume,
+                1,
+                piece,
+                0,
+                2,
+                false,
+                Try.Effect.NONE,
+                0,
+                Duration.ZERO,
+                Instant.MAX);
     }
 
     private static Try second(Try of) {
-        return new Try(of.shard(), of.volume(), of.weight(), of.piece(), of.kind(), of.units(), true, of.effect(),
-                of.token(), of.keyHeld(), of.expiry());
+        return new Try(
+                of.shard(),
+                of.volume(),
+                of.weight(),
+                of.piece(),
+                of.kind(),
+                of.units(),
+                true,
+                of.effect(),
+                of.token(),
+                of.keyHeld(),
+                of.expiry());
     }
 
     private void pass(long millis) {
@@ -100,18 +133,24 @@
         storm(0, 200);
         assertThat(turns).as("signs have to last").isEmpty();
         storm(0, 300);
-        assertThat(turns).contains("shard 0 DAMPING", "volume 9 DAMPING").doesNotContain("shard 1 DAMPING");
-        assertThat(storms.arrived(second(first(1, 8, 1)), now).answer()).as("another node").isEqualTo(Answer.PASS);
+        assertThat(turns)
+                .contains("shard 0 DAMPING", "volume 9 DAMPING")
+                .doesNotContain("shard 1 DAMPING");
+        assertThat(storms.arrived(second(first(1, 8, 1)), now).answer())
+                .as("another node")
+                .isEqualTo(Answer.PASS);
         turns.clear();
         Instant ended = now;
         passUntil("shard 0 RECOVERING");
-        assertThat(Duration.between(ended, now)).as("a lack of signs has to last, too")
+        assertThat(Duration.between(ended, now))
+                .as("a lack of signs has to last, too")
                 .isBetween(Duration.ofSeconds(1), Duration.ofSeconds(6));
         Instant back = now;
         for (String place : List.of("shard 0", "volume 9", "instance")) {
             passUntil(place + " CALM");
         }
-        assertThat(Duration.between(back, now)).isBetween(Terms.USUAL.back(), Terms.USUAL.back().plusSeconds(2));
+        assertThat(Duration.between(back, now))
+                .isBetween(Terms.USUAL.back(), Terms.USUAL.back().plusSeconds(2));
         assertThat(storms.states()).isEmpty();
     }
 
@@ -145,7 +184,8 @@
         while (now.isBefore(at)) { // the deaf one comes every 10 ms
             pass(10);
             if (now.isBefore(at)) {
-                assertThat(storms.arrived(second(deaf), now).answer()).isEqualTo(Answer.TURNED_AWAY);
+                assertThat(storms.arrived(second(deaf), now).answer())
+                        .isEqualTo(Answer.TURNED_AWAY);
             }
         }
         assertThat(storms.arrived(second(heeds), now).answer()).isEqualTo(Answer.PASS);
@@ -170,10 +210,14 @@
         }
     }
 
-    /** Whatever comes, no slot is promised more than the node can take, nor a time out of bounds. */
+    /**
+     * Whatever comes, no slot is promised more than the node can take, nor a time out of bounds.
+     */
     @Property(tries = 200)
-    void promisesNeverExceedTheRoom(@ForAll @IntRange(min = 1, max = 400) int refusals,
-            @ForAll @IntRange(min = 1, max = 200) int room, @ForAll @IntRange(min = 1, max = 20) int volumes,
+    void promisesNeverExceedTheRoom(
+            @ForAll @IntRange(min = 1, max = 400) int refusals,
+            @ForAll @IntRange(min = 1, max = 200) int room,
+            @ForAll @IntRange(min = 1, max = 20) int volumes,
             @ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         ComeBacks ledger = new ComeBacks(Duration.ofMillis(50), Duration.ofMillis(250));
@@ -182,23 +226,37 @@
         Map<Long, Integer> byVolume = new TreeMap<>();
         for (int i = 0; i < refusals; i++) {
             at = at.plusMillis(random.nextInt(20));
-            Try one = new Try(0, random.nextInt(volumes), 1 + random.nextInt(3), i, 0, 0.5 + random.nextInt(6), true,
-                    Try.Effect.NONE, 0, Duration.ZERO, Instant.MAX);
+            Try one =
+                    new Try(
+                            0,
+                            random.nextInt(volumes),
+                            1 + random.nextInt(3),
+                            i,
+                            0,
+                            0.5 + random.nextInt(6),
+                            true,
+                            Try.Effect.NONE,
+                            0,
+                            Duration.ZERO,
+                            Instant.MAX);
             Instant from = at.plusMillis(random.nextInt(100));
             Instant until = at.plusSeconds(2);
             var told = ledger.book(one, room, at, from, until, random);
-            told.ifPresent(time -> {
-                assertThat(time).isBetween(from, until);
-                promised.merge(time.toEpochMilli() / 50, one.units(), Double::sum);
-                byVolume.merge(one.volume(), 1, Integer::sum);
-            });
+            told.ifPresent(
+                    time -> {
+                        assertThat(time).isBetween(from, until);
+                        promised.merge(time.toEpochMilli() / 50, one.units(), Double::sum);
+                        byVolume.merge(one.volume(), 1, Integer::sum);
+                    });
         }
-        double sum = 0; // of what was promised from any slot on, which the slots from there have to take
+        double sum =
+                0; // of what was promised from any slot on, which the slots from there have to take
         long first = promised.isEmpty() ? 0 : ((TreeMap<Long, Double>) promised).firstKey();
         for (Map.Entry<Long, Double> slot : promised.entrySet()) {
             sum += slot.getValue();
             double taken = (slot.getKey() - first + 1) * room * 0.05;
-            assertThat(sum).isLessThanOrEqualTo(taken + 6.5); // the last one may reach into the next slots
+            assertThat(sum)
+                    .isLessThanOrEqualTo(taken + 6.5); // the last one may reach into the next slots
         }
     }
 
@@ -208,11 +266,19 @@
         SplittableRandom random = new SplittableRandom(1);
         int first = 0;
         for (int i = 0; i < 1000; i++) {
-            first += ledger.book(first(0, 1, i), SPEED, now, now, now.plusSeconds(1), random).isPresent() ? 1 : 0;
+            first +=
+                    ledger.book(first(0, 1, i), SPEED, now, now, now.plusSeconds(1), random)
+                                    .isPresent()
+                            ? 1
+                            : 0;
         }
         int other = 0;
         for (int i = 0; i < 1000; i++) {
-            other += ledger.book(first(0, 2, i), SPEED, now, now, now.plusSeconds(1), random).isPresent() ? 1 : 0;
+            other +=
+                    ledger.book(first(0, 2, i), SPEED, now, now, now.plusSeconds(1), random)
+                                    .isPresent()
+                            ? 1
+                            : 0;
         }
         assertThat(first).isBetween(15, 25);
         assertThat(other).isBetween(10, 25);
--- a/src/test/java/cypressglade/storm/WavesTest.java
+++ b/src/test/java/cypressglade/storm/WavesTest.java
@@ -22,7 +22,9 @@
     @Test
     void aThousandAtOnceAreTakenAtThePace() {
         for (int i = 0; i < 500; i++) {
-            assertThat(look(i % 50 == 0 ? 1 : 0)).as("one a second is none").isEqualTo(Integer.MAX_VALUE);
+            assertThat(look(i % 50 == 0 ? 1 : 0))
+                    .as("one a second is none")
+                    .isEqualTo(Integer.MAX_VALUE);
         }
         int waiting = 1000;
         int taken = 60; // by the first look they are in
@@ -35,7 +37,8 @@
             waiting -= next;
             allowed = look(next);
         }
-        assertThat(Duration.between(began, now)).isBetween(Duration.ofSeconds(9), Duration.ofSeconds(10));
+        assertThat(Duration.between(began, now))
+                .isBetween(Duration.ofSeconds(9), Duration.ofSeconds(10));
         for (int i = 0; i < 100; i++) {
             allowed = look(0);
         }
