--- a/src/main/java/cypressglade/core/Brain.java
+++ b/src/main/java/cypressglade/core/Brain.java
@@ -18,15 +18,15 @@
  * conditions are listed in docs/design.md.
  */
 public final class Brain implements Scheduler {
-    private static final double US = 1e6; // microseconds in a second
+    static final double US = 1e6; // microseconds in a second
 
     // The ordinary path.
-    private static final double SMOOTHING = 0.2; // least weight of the newest answer
+    static final double SMOOTHING = 0.2; // least weight of the newest answer
     private static final double SLOW_SMOOTHING = 0.05; // the same for a node's pace and strain
     private static final double MEMORY_US =
             500_000; // memory of what others' load adds to an answer
     private static final double AVERAGE_SMOOTHING = 0.02; // the same for the average over all nodes
-    private static final double FIRST_ANSWERS = 4; // answers that the value at the start counts as
+    static final double FIRST_ANSWERS = 4; // answers that the value at the start counts as
     private static final long FRESH_US =
             150_000; // what was heard of a node within this needs no probe
     private static final double PRICE_US =
@@ -37,22 +37,17 @@
     private static final double PROBE_TRUST = 0.7; // weight of a probe's time in the backlog
     private static final double SAMPLE_CLIP =
             2; // an answer counts as at most so many times what is learned
-    private static final double FORGET_US = 1_000_000; // an unheard node's drift to the average
+    static final double FORGET_US = 1_000_000; // an unheard node's drift to the average
     private static final double START_PACE_US =
             13_000; // microseconds a unit before anything was heard
     private static final double OWN_TIMES =
             2; // how much a request's own units count against those ahead
     private static final double LATENCY_MEANS = 0.3; // latency apart from units, in mean requests
     private static final double SAME_KEY_PART = 0.4; // work of a piece that the node has just taken
-    private static final int RECENT_KEYS = 3; // pieces that a node is taken to remember
     private static final double CONNECTIONS =
             28; // all heads' at a node, which holds few; one each at least
-    private static final double AIM_PART =
-            0.5; // part of the tightest aim that the units out may take
     private static final double LEAST_OUT =
             12; // requests that all heads together may always have out
-    private static final double CEILING_MEANS = 16; // most units out at a node, in mean requests
-    private static final double GUARD_MEANS = 2; // the same for a node known by hearsay only
     private static final int PUSH_BACKS = 24; // times that a held request may be overtaken
     private static final double HERD_SPREAD = 0.03; // chance in placing, against heads herding
     private static final double BACKGROUND_AIM =
@@ -66,20 +61,13 @@
     private static final double SLACK_TOP = 0.9; // part of the aim that the most worthy may take
     private static final double STRAIN_POWER =
             1.0; // how fast the part falls with the worth of a unit
-    private static final double START_STRAIN = 0.3; // when nothing was heard lately
+    static final double START_STRAIN = 0.3; // when nothing was heard lately
     private static final double LEAST_AIM_PART =
             0.15; // part of the aim that a repeat must have left
-    private static final long SAME_TRY_US = 5_000; // step in which ends of patience are compared
-    private static final double RATE_US = 1_000_000; // memory of a volume's rates
+    static final double RATE_US = 1_000_000; // memory of a volume's rates
     private static final double LEAST_EXCESS =
             0.1; // units a second from which a volume asks for more
     private static final long EXCESS_GAP_US = 50_000; // between looks at all volumes
-    private static final long IDLE_US =
-            60_000_000; // a volume that was not asked for so long is forgotten
-    private static final double LEAST_PART =
-            0.5; // least part of a volume, in even parts of its heads
-    private static final double PART_POWER =
-            -0.5; // part by number of heads, where no meter tells it
 
     // Health, by symptom.
     private static final long SILENT_US =
@@ -89,19 +77,9 @@
             20; // how much a node in error is shunned by new objects
     private static final long TEST_GAP_US =
             62_500; // between tests of a silent node by heads in turn
-    private static final double TURN_BY_RANK =
-            0.618034; // golden section: spreads ranks evenly over turns
-    private static final double TURN_PART =
-            0.8; // of what all may send: chance gives some windows more
-    private static final double COLD_PART =
-            0.6; // of what a cold node falls over at, as nodes are seen
-    private static final double LEAST_WARMTH = 0.05; // where settings name no cold part
     private static final int LEAST_TURNED =
             64; // refusals to remember before one that is over is dropped
-    private static final int COLD_ANSWERS = 20; // answers from which that is known
-    private static final double TURN_BY_WINDOW =
-            0.754878; // and windows, out of step with the ranks
-    private static final double DEMAND_US = 5_000_000; // memory of what this head is asked for
+    static final double DEMAND_US = 5_000_000; // memory of what this head is asked for
     private static final long FULL_REST_US = 30_000; // rest after a node turned a request away
     private static final long TICK_US =
             10_000; // how often held requests and silent nodes are looked at
@@ -110,26 +88,29 @@
 
     private static final long TICK = 1, WATCH = 2;
 
-    private Settings settings;
-    private Limits limits;
-    private Parts parts = Parts.EVEN;
+    Settings settings;
+    Limits limits;
+    Parts parts = Parts.EVEN;
     private final Actions actions;
     private final SplittableRandom random;
     private final Map<Long, Node> nodes = new LinkedHashMap<>();
-    private final Map<Integer, Node> shards = new TreeMap<>();
+    final Map<Integer, Node> shards = new TreeMap<>();
     private final Map<Long, Held> open = new HashMap<>();
     private final Map<Long, Volume> volumes = new LinkedHashMap<>();
     private final Map<Long, ArrayDeque<Held>> turns = new HashMap<>();
     private final Map<Long, Long> keyRests = new HashMap<>();
     private final ArrayDeque<Long> taken = new ArrayDeque<>(), further = new ArrayDeque<>();
     private final LinkedHashMap<Long, Held> turnedAway = new LinkedHashMap<>();
-    private int leastOut, mostOut, queueAt, answers, heldCount, outCount, mostTurned;
-    private final long bornAt;
-    private double averagePace = START_PACE_US, averageStrain = START_STRAIN, averageBacklog;
+    private int leastOut, mostOut, queueAt, heldCount, outCount, mostTurned;
+    int answers;
+    final long bornAt;
+    double averagePace = START_PACE_US, averageStrain = START_STRAIN;
+    private double averageBacklog;
     private double leastWorth, mostWorth, topWorth;
-    private double meanExcess,
-            asked; // units beyond the reserves of a volume, and all that was asked for
-    private long averageAt, askedAt, excessAt, tightestAim, freshUs, testGapUs;
+    private double meanExcess; // units beyond the reserves of a volume
+    double asked; // all that was asked for
+    long averageAt, tightestAim;
+    private long askedAt, excessAt, freshUs, testGapUs;
     private final long[] givenUp = new long[Reason.values().length];
     private boolean ticking;
 
@@ -179,7 +160,7 @@
             nodes.values().forEach(node -> node.ready = false);
         }
         for (NodeEntry entry : entries) {
-            nodes.computeIfAbsent(entry.node(), address -> new Node()).update(entry);
+            nodes.computeIfAbsent(entry.node(), address -> new Node(this)).update(entry);
         }
         shards.clear();
         nodes.values().stream()
@@ -207,7 +188,7 @@
             giveUp(now, held, 0, Reason.UNKNOWN);
             return;
         }
-        held.volume = volumes.computeIfAbsent(request.volume(), id -> new Volume(now, held));
+        held.volume = volumes.computeIfAbsent(request.volume(), id -> new Volume(this, now, held));
         held.volume.heads = Math.max(1, request.heads());
         held.volume.plan = settings.plans().get(request.plan());
         held.type = settings.classes().get(request.requestClass());
@@ -239,7 +220,7 @@
         if (sent == null) {
             return;
         }
-        Node node = sent.node;
+        Node node = sent.node();
         held.outstanding--;
         outCount--;
         node.drop(sent);
@@ -759,12 +740,12 @@
 
     private void learn(long now, Node node, Sent sent, Outcome outcome) {
         if (outcome.used() > 0) {
-            sent.held.volume.meter(outcome.used() - 1);
+            sent.held().volume.meter(outcome.used() - 1);
         }
         switch (outcome.status()) {
             case OK -> {
                 heard(now, node, false);
-                sent.held.volume.servedHere += sent.held.request.units() / RATE_US * US;
+                sent.held().volume.servedHere += sent.held().request.units() / RATE_US * US;
                 teach(now, node, sent, outcome.latencyUs());
             }
             case ERROR -> heard(now, node, true);
@@ -773,7 +754,7 @@
                 // would make
                 // a crowded node look quick. Covers those; a hang is told by silence and teaches no
                 // speed.
-                if (outcome.latencyUs() > sent.expected && outcome.latencyUs() < SILENT_US) {
+                if (outcome.latencyUs() > sent.expected() && outcome.latencyUs() < SILENT_US) {
                     teach(now, node, sent, outcome.latencyUs());
                 }
             }
@@ -796,21 +777,25 @@
     private void teach(long now, Node node, Sent sent, long latencyUs) {
         double pace = node.pace(now);
         double backlog = node.backlog(now);
-        double error = latencyUs - backlog - sent.span * pace;
+        double error = latencyUs - backlog - sent.span() * pace;
         double passed = node.heardAt == Long.MIN_VALUE ? Double.MAX_VALUE : now - node.heardAt;
         double newest = 1 - (1 - SMOOTHING) * Math.exp(-passed / MEMORY_US);
         node.backlog = Math.max(0, backlog + newest * error);
-        double own = sent.span * pace;
+        double own = sent.span() * pace;
         double odd = error > 0 ? Math.min(error, own) : Math.min(0, latencyUs - own);
         double step =
-                Math.max(SLOW_SMOOTHING, 1.0 / (++node.answers + FIRST_ANSWERS)) * odd / sent.span;
+                Math.max(SLOW_SMOOTHING, 1.0 / (++node.answers + FIRST_ANSWERS))
+                        * odd
+                        / sent.span();
         node.pace = Math.max(pace / SAMPLE_CLIP, pace + Math.min(step, (SAMPLE_CLIP - 1) * pace));
         double part = Math.max(AVERAGE_SMOOTHING, 1.0 / (++answers + FIRST_ANSWERS));
         averageBacklog = averageBacklog(now) + part * (node.backlog - averageBacklog(now));
         averageAt = now;
         averagePace += part * (node.pace * node.warmth(now) - averagePace);
         double strain =
-                Math.min(SAMPLE_CLIP, (double) (now - sent.held.arrived) / sent.held.type.aimUs());
+                Math.min(
+                        SAMPLE_CLIP,
+                        (double) (now - sent.held().arrived) / sent.held().type.aimUs());
         double old = node.strain(now);
         node.strain =
                 old
@@ -820,7 +805,7 @@
         node.heardAt = now;
     }
 
-    private double averageBacklog(long now) {
+    double averageBacklog(long now) {
         return averageBacklog * Math.exp(-(now - averageAt) / FORGET_US);
     }
 
@@ -845,14 +830,14 @@
      * node is down, hangs, is cut off, or is far slower than it was; more sends would only be lost.
      * May hurt where a heavy request alone fills the node: a probe brings it back.
      */
-    private boolean silent(long now, Node node) {
+    boolean silent(long now, Node node) {
         Sent oldest = node.out.peek();
         return node.down
-                || oldest != null && overdue(now, oldest, Math.max(oldest.at, node.answeredAt));
+                || oldest != null && overdue(now, oldest, Math.max(oldest.at(), node.answeredAt));
     }
 
     private static boolean overdue(long now, Sent sent, long since) {
-        return now - since > Math.max(SILENT_US, SILENT_TIMES * sent.expected);
+        return now - since > Math.max(SILENT_US, SILENT_TIMES * sent.expected());
     }
 
     /**
@@ -863,7 +848,7 @@
      */
     private void writeOffLost(long now, Node node) {
         for (Sent sent : List.copyOf(node.out)) {
-            if (overdue(now, sent, sent.at) && node.answeredAt > sent.at + SILENT_US) {
+            if (overdue(now, sent, sent.at()) && node.answeredAt > sent.at() + SILENT_US) {
                 node.drop(sent);
             }
         }
@@ -914,313 +899,4 @@
             actions.timer(TICK_US, TICK);
         }
     }
-
-    // ---- tables
-
-    /** A storage node as this head sees it. */
-    private final class Node {
-        private long address,
-                startedUs,
-                testedAt,
-                restUntil,
-                trustedUntil,
-                resetAt = Long.MIN_VALUE;
-        private long coldFrom; // the latest start that others tell of
-        private int shard;
-        private boolean ready, down, guarded; // guarded: known by hearsay only
-        private double pace, backlog, strain, errors, outUnits;
-        private int answers;
-        private final ArrayDeque<Long> recentKeys = new ArrayDeque<>();
-        private long heardAt = Long.MIN_VALUE,
-                answeredAt = Long.MIN_VALUE; // by anything; by an answer
-        private long seenAt = Long.MIN_VALUE,
-                probedAt = Long.MIN_VALUE; // signs of life; probe that is out
-        private final ArrayList<Held> parked = new ArrayList<>();
-        private final ArrayDeque<Sent> out = new ArrayDeque<>();
-        private final ArrayList<Held> queue = new ArrayList<>();
-        private final ArrayDeque<double[]> coldSends = new ArrayDeque<>();
-
-        void update(NodeEntry entry) {
-            if (entry.startedUs() != startedUs) {
-                heardAt = Long.MIN_VALUE;
-                answers = 0;
-                down = guarded = false;
-                errors = 0;
-            }
-            address = entry.node();
-            shard = entry.shard();
-            ready = entry.state() == State.READY;
-            startedUs = entry.startedUs();
-        }
-
-        boolean idle() {
-            return !down && empty();
-        }
-
-        boolean empty() {
-            return out.isEmpty() && queue.isEmpty() && parked.isEmpty();
-        }
-
-        /** What was learned of the node drifts to the average of all while it is not heard of. */
-        double recall(long now, double learned, double average) {
-            return heardAt == Long.MIN_VALUE
-                    ? average
-                    : average + (learned - average) * Math.exp(-(now - heardAt) / FORGET_US);
-        }
-
-        /**
-         * Part of its speed that a node surely has: it rises evenly from the cold part to the
-         * whole.
-         */
-        double warmth(long now) {
-            long cold = limits.rampUs() - (now - Math.max(startedUs, coldFrom));
-            return startedUs == 0 && coldFrom == 0 || cold <= 0
-                    ? 1
-                    : Math.max(
-                            LEAST_WARMTH,
-                            1
-                                    - (1 - limits.coldFrom())
-                                            * Math.min(1, (double) cold / limits.rampUs()));
-        }
-
-        /**
-         * Microseconds a unit; of an unheard node what the average of all tells of one as warm as
-         * it is.
-         */
-        double pace(long now) {
-            return recall(now, pace, averagePace / warmth(now));
-        }
-
-        /** Share of their aim that answers take: how crowded the node is. */
-        double strain(long now) {
-            double kept = Math.exp(-(now - averageAt) / FORGET_US);
-            return recall(now, strain, START_STRAIN + (averageStrain - START_STRAIN) * kept);
-        }
-
-        /**
-         * Microseconds that others' load adds to an answer. An attempt over its time tells of at
-         * least so much, unless something came back since: then it is lost or heavy.
-         */
-        double backlog(long now) {
-            double known = recall(now, backlog, averageBacklog(now));
-            Sent oldest = out.peek();
-            return oldest == null
-                    ? known
-                    : Math.max(known, now - Math.max(oldest.at + oldest.expected, seenAt));
-        }
-
-        void setBacklog(long now, double value) {
-            pace = pace(now);
-            strain = strain(now);
-            backlog = value;
-            heardAt = now;
-        }
-
-        /**
-         * Whether the piece is among the last that this head sent or holds here, so that it costs
-         * less.
-         */
-        boolean takes(long key) {
-            if (key == 0 || recentKeys.contains(key)) {
-                return key != 0;
-            }
-            recentKeys.add(key);
-            if (recentKeys.size() > RECENT_KEYS) {
-                recentKeys.poll();
-            }
-            return false;
-        }
-
-        void drop(Sent sent) {
-            if (out.remove(sent)) {
-                outUnits = out.isEmpty() ? 0 : outUnits - sent.held.work;
-            }
-        }
-
-        /** Units that may be out; a background class asks for less. */
-        double bound(long now) {
-            double bound =
-                    (AIM_PART * tightestAim - backlog(now)) / pace(now) - settings.meanUnits();
-            return Math.min(bound, (guarded ? GUARD_MEANS : CEILING_MEANS) * settings.meanUnits());
-        }
-
-        NodeView view(long now) {
-            boolean silent = silent(now, this);
-            return new NodeView(
-                    address,
-                    shard,
-                    ready,
-                    guarded,
-                    silent,
-                    startedUs,
-                    pace(now),
-                    backlog(now),
-                    strain(now),
-                    errors,
-                    answers,
-                    answeredAt == Long.MIN_VALUE ? -1 : now - answeredAt,
-                    seenAt == Long.MIN_VALUE ? -1 : now - seenAt,
-                    outUnits,
-                    bound(now),
-                    queue.size(),
-                    coldRoom(now));
-        }
-
-        double heldAhead(Held held) {
-            double ahead = 0;
-            for (Held other : queue) {
-                if (other.due <= held.due && !other.background) {
-                    ahead += other.work;
-                }
-            }
-            return ahead;
-        }
-
-        /**
-         * Units that this head may still send to a cold node within the rule's window. Where an
-         * even part of what all heads may send is less than one request, heads take turns by rank
-         * and window: so many at once that they ask for no more than all may send, by this head's
-         * own traffic. One largest request a turn bounds a head whose volume surges. Covers
-         * restarts of heads (turns go by rank) and heads that die (their turn lapses); may hurt
-         * where few heads have all the traffic of the node.
-         */
-        double coldRoom(long now) {
-            coldSends.removeIf(sent -> sent[0] <= now - limits.fallUs());
-            double warmth = warmth(now);
-            if (warmth >= 1) {
-                return Double.MAX_VALUE;
-            }
-            double all = limits.youngUnits() * warmth / Math.max(LEAST_WARMTH, limits.coldFrom());
-            if (Brain.this.answers >= COLD_ANSWERS) {
-                double paced =
-                        Math.max(averagePace / warmth, answers < FIRST_ANSWERS ? 0 : pace(now));
-                all = Math.max(all, COLD_PART * limits.overloadFactor() * limits.fallUs() / paced);
-            }
-            double room = all / parts.nodeHeads(now, address, settings.heads());
-            if (parts == Parts.EVEN && room < settings.mostUnits()) {
-                double seen =
-                        DEMAND_US * (1 - Math.exp(-(now - bornAt + limits.fallUs()) / DEMAND_US));
-                double demand = asked / seen * limits.fallUs() * settings.heads() / shards.size();
-                long window = now / limits.fallUs();
-                double turn =
-                        (settings.rank() * TURN_BY_RANK + (window + shard) * TURN_BY_WINDOW) % 1;
-                room = turn < TURN_PART * all / demand ? settings.mostUnits() : 0;
-            }
-            for (double[] sent : coldSends) {
-                room -= sent[1];
-            }
-            return room;
-        }
-    }
-
-    /**
-     * A volume as this head sees it: its part of the reserve and of the limit, and what it asks
-     * beyond.
-     */
-    private final class Volume {
-        private Plan plan;
-        private int heads = 1;
-        private long id, refilledAt, askedAt;
-        private double reserve, limit, pending, excess, servedHere, servedEverywhere = -1;
-
-        Volume(long now, Held first) {
-            id = first.request.volume();
-            plan = settings.plans().get(first.request.plan());
-            heads = Math.max(1, first.request.heads());
-            refilledAt = now;
-            reserve = part() * plan.reserveRate();
-            // The store fills from the start of the instance, not from the first request. It starts
-            // with its
-            // part of the slack, so that what a restart spends twice stays within that.
-            double filled = plan.limitSlack() + (now - bornAt) / US * plan.limitRate();
-            limit = Math.min(plan.limitBurst(), filled) / parts.leastHeads(heads);
-        }
-
-        double limitHeads(long now) {
-            return parts.volumeHeads(now, id, heads);
-        }
-
-        /** This head's part of what the volume gets: by the meter where there is one. */
-        double part() {
-            return servedEverywhere <= 0 || heads <= 1
-                    ? Math.pow(heads, PART_POWER)
-                    : Math.min(1, Math.max(LEAST_PART / heads, servedHere / servedEverywhere));
-        }
-
-        void refill(long now) {
-            double passed = (now - refilledAt) / US;
-            refilledAt = now;
-            double full =
-                    part() * plan.reserveRate()
-                            + (plan.reserveRate() > 0 ? settings.mostUnits() : 0);
-            reserve = Math.min(full, reserve + passed * part() * plan.reserveRate());
-            double among = limitHeads(now);
-            limit = Math.min(plan.limitBurst() / among, limit + passed * plan.limitRate() / among);
-            double kept = Math.exp(-passed * US / RATE_US);
-            excess *= kept;
-            servedHere *= kept;
-        }
-
-        double excessByWeight() {
-            return excess / Math.max(plan.weight(), Double.MIN_NORMAL);
-        }
-
-        /**
-         * Brings it up to now. Idle for long and with a full store of the limit it would come back
-         * alike.
-         */
-        boolean forgotten(long now) {
-            return limitWait(now, plan.limitBurst() / limitHeads(now)) <= 0
-                    && pending <= 0
-                    && now - askedAt > IDLE_US;
-        }
-
-        void meter(int percent) {
-            double rate = percent / 100.0 * plan.baseRate();
-            double known = servedEverywhere < 0 ? rate : servedEverywhere;
-            servedEverywhere = known + SMOOTHING * (rate - known);
-        }
-
-        /** How long until the store of the limit holds so many units. */
-        double limitWait(long now, double units) {
-            refill(now);
-            return plan.limitRate() <= 0
-                    ? 0
-                    : (units - limit) * limitHeads(now) / plan.limitRate() * US;
-        }
-    }
-
-    /** A request that this head took and that is not over, or has an attempt out. */
-    private static final class Held {
-        private final Request request;
-        private final long arrived;
-        private final long expiry;
-        private final List<Sent> sent = new ArrayList<>(1);
-        private RequestClass type;
-        private Volume volume;
-        private Node node;
-        private long firstTry, aim, due, parkedAt, firstSent;
-        private double work, worth, reserved;
-        private int pushed, outstanding;
-        private boolean asked, background, ordered, mayHaveRun, over;
-
-        Held(long now, Request request) {
-            this.request = request;
-            arrived = now;
-            firstTry = now;
-            work = request.units();
-            expiry = now + request.leftUs();
-        }
-
-        /** Tells tries of one client apart from all others; steps of the end of patience apart. */
-        long print(int step) {
-            long what = (request.volume() * 31 + request.key()) * 31 + request.requestClass();
-            return (what * 31 + Float.floatToIntBits(request.units())) * 31
-                    + expiry / SAME_TRY_US
-                    + step;
-        }
-    }
-
-    /** One attempt: when and where it went, the units that count for it, and its predicted time. */
-    private record Sent(long at, Node node, Held held, double span, double expected) {}
 }
