--- a/src/main/java/cypressglade/cli/CompletionCommand.java
+++ b/src/main/java/cypressglade/cli/CompletionCommand.java
@@ -21,7 +21,8 @@
             _cypressglade() {
               local word="${COMP_WORDS[COMP_CWORD]}" words=""
               case "${COMP_WORDS[COMP_CWORD-1]}" in
-                --console|--socket|--config|--nbd|--peers) COMPREPLY=($(compgen -f -- "$word")); return ;;
+                --console|--socket|--config|--nbd|--peers) \
+            COMPREPLY=($(compgen -f -- "$word")); return ;;
               esac
               if [ "$COMP_CWORD" -eq 1 ]; then
                 words="%s"
@@ -47,20 +48,7 @@
     @Override
     public void run(PrintStream out) {
         Map<String, String> options = new TreeMap<>();
-        commands.getCommands()
-                .forEach(
-                        (name, command) ->
-                                options.put(
-                                        name,
-                                        command.getParameters().stream()
-                                                .flatMap(
-                                                        parameter ->
-                                                                Stream.of(
-                                                                        parameter
-                                                                                .getParameter()
-                                                                                .names()))
-                                                .sorted()
-                                                .collect(Collectors.joining(" "))));
+        commands.getCommands().forEach((name, command) -> options.put(name, options(command)));
         String cases =
                 options.entrySet().stream()
                         .map(
@@ -74,4 +62,11 @@
                         .collect(Collectors.joining());
         out.printf(SCRIPT, String.join(" ", options.keySet()), cases);
     }
+
+    private static String options(JCommander command) {
+        return command.getParameters().stream()
+                .flatMap(parameter -> Stream.of(parameter.getParameter().names()))
+                .sorted()
+                .collect(Collectors.joining(" "));
+    }
 }
--- a/src/main/java/cypressglade/cli/Main.java
+++ b/src/main/java/cypressglade/cli/Main.java
@@ -167,13 +167,9 @@
                     return check.start && !starts(config, out) ? FAILED : OK;
                 }
                 case "version" -> {
+                    String version = Main.class.getPackage().getImplementationVersion();
                     out.println(
-                            "cypressglade "
-                                    + Optional.ofNullable(
-                                                    Main.class
-                                                            .getPackage()
-                                                            .getImplementationVersion())
-                                            .orElse("(unpacked)"));
+                            "cypressglade " + Optional.ofNullable(version).orElse("(unpacked)"));
                     return OK;
                 }
                 default -> throw new ParameterException("no command given");
@@ -197,8 +193,9 @@
         if (!Signals.onHangUp(reload)) {
             LOG.log(
                     System.Logger.Level.WARNING,
-                    "SIGHUP is ignored by whoever started this program, as by"
-                            + " nohup: no new configuration is read; start it with the signal at its default");
+                    "SIGHUP is ignored by whoever started this program, as by nohup: "
+                            + "no new configuration is read; "
+                            + "start it with the signal at its default");
         }
         Config config = Reload.readable(command::read);
         Rehearsal.play(config);
@@ -241,7 +238,8 @@
                             "/" + type + "/0000000000000001/0000000000000002",
                             "X-Trace-Id: 1\r\nTier: "
                                     + config.settings().plans().get(0).name()
-                                    + "\r\nX-Expires-In-Ms: 500\r\nIO-Info: units=1,shard=0,hosts=1\r\n");
+                                    + "\r\nX-Expires-In-Ms: 500\r\n"
+                                    + "IO-Info: units=1,shard=0,hosts=1\r\n");
             out.println("health: " + health + "; a request: " + request);
             return health.endsWith(" 200 OK");
         }
@@ -277,9 +275,9 @@
                                     out.print(scheduler.counters().text());
                                     out.print(ProcessMemory.peak());
                                     out.flush();
-                                    Runtime.getRuntime()
-                                            .halt(OK); // a planned stop is no failure, whatever
-                                    // the signal's own code
+                                    // a planned stop is no failure, whatever the signal's own
+                                    // code
+                                    Runtime.getRuntime().halt(OK);
                                 },
                                 "stop"));
         if (scheduler.start()) {
--- a/src/main/java/cypressglade/cli/OperatorCommand.java
+++ b/src/main/java/cypressglade/cli/OperatorCommand.java
@@ -53,15 +53,17 @@
         return socket.isEmpty()
                 ? ControlConfigParser.read(Path.of(file))
                         .map(ControlConfig::socket)
-                        .orElseThrow(
-                                () ->
-                                        new ConfigException(
-                                                file
-                                                        + ": is not there or says \"enabled\": false; "
-                                                        + "turn it on, or name the socket with --socket"))
+                        .orElseThrow(this::noSocket)
                 : Path.of(socket);
     }
 
+    private ConfigException noSocket() {
+        return new ConfigException(
+                file
+                        + ": is not there or says \"enabled\": false; "
+                        + "turn it on, or name the socket with --socket");
+    }
+
     @Override
     public void run(PrintStream out) throws ConfigException, IOException {
         try (ControlClient client = new ControlClient(socket())) {
@@ -256,7 +258,8 @@
                             + (answer.path("durable").asBoolean()
                                     ? ""
                                     : "; it could NOT be written to the disk and "
-                                            + "ends with a restart of the scheduler: make room, take it back and give it again"));
+                                            + "ends with a restart of the scheduler: "
+                                            + "make room, take it back and give it again"));
         }
     }
 
--- a/src/main/java/cypressglade/cli/PeersCommand.java
+++ b/src/main/java/cypressglade/cli/PeersCommand.java
@@ -69,24 +69,24 @@
 
     @Override
     public void run(PrintStream out) throws ConfigException, IOException {
-        PeersConfig config =
-                PeersConfigParser.read(Path.of(file))
-                        .orElseThrow(
-                                () ->
-                                        new ConfigException(
-                                                file
-                                                        + ": is not there or says \"enabled\": false; without it there are no peers to show"));
-        Talk talk =
-                config.talk()
-                        .orElseThrow(
-                                () ->
-                                        new ConfigException(
-                                                file
-                                                        + ": names no \"listen\"; an instance that is alone has no peers to show"));
+        PeersConfig config = PeersConfigParser.read(Path.of(file)).orElseThrow(this::notEnabled);
+        Talk talk = config.talk().orElseThrow(this::alone);
         PeerReport report = PeerReport.of(at.isEmpty() ? talk.listen() : address(at), talk.keys());
         out.print(json ? json(report) : table(report));
     }
 
+    private ConfigException notEnabled() {
+        return new ConfigException(
+                file
+                        + ": is not there or says \"enabled\": false; "
+                        + "without it there are no peers to show");
+    }
+
+    private ConfigException alone() {
+        return new ConfigException(
+                file + ": names no \"listen\"; an instance that is alone has no peers to show");
+    }
+
     private static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         try {
--- a/src/main/java/cypressglade/cli/Rehearsal.java
+++ b/src/main/java/cypressglade/cli/Rehearsal.java
@@ -198,23 +198,22 @@
             List<RequestClass> classes = config.settings().classes();
             RequestClass type = classes.get(number % classes.size());
             String body = type.write() ? "x".repeat(200) : "";
-            wire.send(
-                    ByteBuffer.wrap(
-                            ((type.write() ? "PUT /" : "GET /")
-                                            + type.name()
-                                            + String.format("/%016x/%016x", number % 40, number)
-                                            + " HTTP/1.1\r\nHost: rehearsal\r\n"
-                                            + "X-Trace-Id: "
-                                            + number
-                                            + "\r\nTier: "
-                                            + plans.get(number % plans.size()).name()
-                                            + "\r\nX-Expires-In-Ms: "
-                                            + Micros.span(type.deadlineUs()).toMillis()
-                                            + "\r\nIO-Info: units=1,shard=0,hosts=1\r\nContent-Length: "
-                                            + body.length()
-                                            + "\r\n\r\n"
-                                            + body)
-                                    .getBytes(StandardCharsets.US_ASCII)));
+            String request =
+                    (type.write() ? "PUT /" : "GET /")
+                            + type.name()
+                            + String.format("/%016x/%016x", number % 40, number)
+                            + " HTTP/1.1\r\nHost: rehearsal\r\n"
+                            + "X-Trace-Id: "
+                            + number
+                            + "\r\nTier: "
+                            + plans.get(number % plans.size()).name()
+                            + "\r\nX-Expires-In-Ms: "
+                            + Micros.span(type.deadlineUs()).toMillis()
+                            + "\r\nIO-Info: units=1,shard=0,hosts=1\r\nContent-Length: "
+                            + body.length()
+                            + "\r\n\r\n"
+                            + body;
+            wire.send(ByteBuffer.wrap(request.getBytes(StandardCharsets.US_ASCII)));
         }
 
         @Override
--- a/src/main/java/cypressglade/console/Desk.java
+++ b/src/main/java/cypressglade/console/Desk.java
@@ -216,7 +216,8 @@
                     !message.isEmpty()
                             ? message
                             : (filter.isEmpty() ? "" : "filter " + filter + "  ")
-                                    + "? help  d drain  u undrain  z undo  s sort  / filter  p pause  q quit";
+                                    + "? help  d drain  u undrain  z undo  s sort  "
+                                    + "/ filter  p pause  q quit";
         };
     }
 }
--- a/src/main/java/cypressglade/control/Control.java
+++ b/src/main/java/cypressglade/control/Control.java
@@ -4,6 +4,7 @@
 import cypressglade.core.Counters;
 import cypressglade.core.Engine;
 import cypressglade.core.NodeFact;
+import cypressglade.core.Scheduler.Load;
 import cypressglade.core.Scheduler.Reason;
 import cypressglade.core.Time;
 import cypressglade.member.Member;
@@ -101,40 +102,26 @@
     }
 
     private void gather(Consumer<Picture> seen) {
-        engine.look(
-                (nodes, load) ->
-                        server.post(
-                                () ->
-                                        seen.accept(
-                                                new Picture(
-                                                        Time.now(),
-                                                        nodes,
-                                                        classes.get(),
-                                                        load,
-                                                        drains.list()))));
+        engine.look((nodes, load) -> server.post(() -> seen.accept(picture(nodes, load))));
+    }
+
+    private Picture picture(List<NodeFact> nodes, Load load) {
+        return new Picture(Time.now(), nodes, classes.get(), load, drains.list());
     }
 
     /** Tells when drains are done; asks the engine only while there are any that are not. */
     @Override
     public void tick() {
         if (drains.list().stream().anyMatch(drain -> !drain.done())) {
-            engine.views(
-                    facts ->
-                            server.post(
-                                    () ->
-                                            drains.seen(facts)
-                                                    .forEach(
-                                                            done -> {
-                                                                keep();
-                                                                event(
-                                                                        "drain.done",
-                                                                        Map.of(
-                                                                                "node",
-                                                                                done.node()));
-                                                            })));
+            engine.views(facts -> server.post(() -> drains.seen(facts).forEach(this::done)));
         }
     }
 
+    private void done(HandDrain drain) {
+        keep();
+        event("drain.done", Map.of("node", drain.node()));
+    }
+
     private void event(String name, Map<String, String> fields) {
         events.add(Instant.now(), name, fields);
         LOG.log(Level.INFO, "{0} {1}", name, fields);
--- a/src/main/java/cypressglade/control/ControlClient.java
+++ b/src/main/java/cypressglade/control/ControlClient.java
@@ -30,7 +30,8 @@
                     socket
                             + ": no scheduler answers there ("
                             + nobody.getMessage()
-                            + "); start one with the control socket on, see docs/operating-console.md",
+                            + "); start one with the control socket on, "
+                            + "see docs/operating-console.md",
                     nobody);
         }
         lines = new BufferedReader(Channels.newReader(channel, StandardCharsets.UTF_8));
--- a/src/main/java/cypressglade/core/Brain.java
+++ b/src/main/java/cypressglade/core/Brain.java
@@ -23,66 +23,67 @@
     // The ordinary path.
     static final double SMOOTHING = 0.2; // least weight of the newest answer
     private static final double SLOW_SMOOTHING = 0.05; // the same for a node's pace and strain
-    private static final double MEMORY_US =
-            500_000; // memory of what others' load adds to an answer
+    // Memory of what others' load adds to an answer.
+    private static final double MEMORY_US = 500_000;
     private static final double AVERAGE_SMOOTHING = 0.02; // the same for the average over all nodes
     static final double FIRST_ANSWERS = 4; // answers that the value at the start counts as
-    private static final long FRESH_US =
-            150_000; // what was heard of a node within this needs no probe
-    private static final double PRICE_US =
-            1_500_000_000; // the same by the square of a probe's price
+    // What was heard of a node within this needs no probe.
+    private static final long FRESH_US = 150_000;
+    // The same by the square of a probe's price.
+    private static final double PRICE_US = 1_500_000_000;
     private static final long ASK_WAIT_US = 30_000; // longest wait for a probe before a decision
-    private static final double NO_ANSWER_TIMES =
-            4; // backlog if no probe comes back, in waits for it
+    // Backlog if no probe comes back, in waits for it.
+    private static final double NO_ANSWER_TIMES = 4;
     private static final double PROBE_TRUST = 0.7; // weight of a probe's time in the backlog
-    private static final double SAMPLE_CLIP =
-            2; // an answer counts as at most so many times what is learned
+    // An answer counts as at most so many times what is learned.
+    private static final double SAMPLE_CLIP = 2;
     static final double FORGET_US = 1_000_000; // an unheard node's drift to the average
-    private static final double START_PACE_US =
-            13_000; // microseconds a unit before anything was heard
-    private static final double OWN_TIMES =
-            2; // how much a request's own units count against those ahead
+    // Microseconds a unit before anything was heard.
+    private static final double START_PACE_US = 13_000;
+    // How much a request's own units count against those ahead.
+    private static final double OWN_TIMES = 2;
     private static final double LATENCY_MEANS = 0.3; // latency apart from units, in mean requests
     private static final double SAME_KEY_PART = 0.4; // work of a piece that the node has just taken
-    private static final double CONNECTIONS =
-            28; // all heads' at a node, which holds few; one each at least
-    private static final double LEAST_OUT =
-            12; // requests that all heads together may always have out
+    // All heads' at a node, which holds few; one each at least.
+    private static final double CONNECTIONS = 28;
+    // Requests that all heads together may always have out.
+    private static final double LEAST_OUT = 12;
     private static final int PUSH_BACKS = 24; // times that a held request may be overtaken
     private static final double HERD_SPREAD = 0.03; // chance in placing, against heads herding
-    private static final double BACKGROUND_AIM =
-            2; // least aim of a background class, in tightest aims
-    private static final double BACKGROUND_PART =
-            0.5; // part of its slack in which background may leave
-    private static final long SHIFT_US =
-            250_000; // background moves back by this, to its class deadline
+    // Least aim of a background class, in tightest aims.
+    private static final double BACKGROUND_AIM = 2;
+    // Part of its slack in which background may leave.
+    private static final double BACKGROUND_PART = 0.5;
+    // Background moves back by this, to its class deadline.
+    private static final long SHIFT_US = 250_000;
 
     // Worth: what earns less gets less of the slack (thesis 4.3 refuses the greedy).
     private static final double SLACK_TOP = 0.9; // part of the aim that the most worthy may take
-    private static final double STRAIN_POWER =
-            1.0; // how fast the part falls with the worth of a unit
+    // How fast the part falls with the worth of a unit.
+    private static final double STRAIN_POWER = 1.0;
     static final double START_STRAIN = 0.3; // when nothing was heard lately
-    private static final double LEAST_AIM_PART =
-            0.15; // part of the aim that a repeat must have left
+    // Part of the aim that a repeat must have left.
+    private static final double LEAST_AIM_PART = 0.15;
     static final double RATE_US = 1_000_000; // memory of a volume's rates
-    private static final double LEAST_EXCESS =
-            0.1; // units a second from which a volume asks for more
+    // Units a second from which a volume asks for more.
+    private static final double LEAST_EXCESS = 0.1;
     private static final long EXCESS_GAP_US = 50_000; // between looks at all volumes
 
     // Health, by symptom.
-    private static final long SILENT_US =
-            350_000; // nothing back for this: longer than healthy pauses
+
+    // Nothing back for this: longer than healthy pauses.
+    private static final long SILENT_US = 350_000;
     private static final double SILENT_TIMES = 3; // and so many times the expected answer
-    private static final double ERROR_TIMES =
-            20; // how much a node in error is shunned by new objects
-    private static final long TEST_GAP_US =
-            62_500; // between tests of a silent node by heads in turn
-    private static final int LEAST_TURNED =
-            64; // refusals to remember before one that is over is dropped
+    // How much a node in error is shunned by new objects.
+    private static final double ERROR_TIMES = 20;
+    // Between tests of a silent node by heads in turn.
+    private static final long TEST_GAP_US = 62_500;
+    // Refusals to remember before one that is over is dropped.
+    private static final int LEAST_TURNED = 64;
     static final double DEMAND_US = 5_000_000; // memory of what this head is asked for
     private static final long FULL_REST_US = 30_000; // rest after a node turned a request away
-    private static final long TICK_US =
-            10_000; // how often held requests and silent nodes are looked at
+    // How often held requests and silent nodes are looked at.
+    private static final long TICK_US = 10_000;
     private static final long LEAST_ADVICE_US = 50_000; // shortest advice to a refused client
     private static final long WATCH_AGAIN_US = 500_000; // before asking again for a failed list
 
@@ -167,11 +168,8 @@
                 .filter(node -> node.ready)
                 .forEach(node -> shards.put(node.shard, node));
         nodes.values().stream().filter(node -> !node.ready).forEach(node -> moveHeld(now, node));
-        nodes.values()
-                .removeIf(
-                        node ->
-                                !node.ready
-                                        && node.empty()); // also one that is down: nobody asks it
+        // also one that is down: nobody asks it
+        nodes.values().removeIf(node -> !node.ready && node.empty());
     }
 
     @Override
@@ -315,24 +313,20 @@
     public Load load(long now) {
         int[] held = new int[settings.classes().size()];
         long[] oldest = new long[held.length];
-        nodes.values()
-                .forEach(
-                        node ->
-                                Stream.concat(node.queue.stream(), node.parked.stream())
-                                        .filter(one -> one.request.requestClass() < held.length)
-                                        .forEach(
-                                                one -> {
-                                                    held[one.request.requestClass()]++;
-                                                    oldest[one.request.requestClass()] =
-                                                            Math.max(
-                                                                    oldest[
-                                                                            one.request
-                                                                                    .requestClass()],
-                                                                    now - one.arrived);
-                                                }));
+        for (Node node : nodes.values()) {
+            Stream.concat(node.queue.stream(), node.parked.stream())
+                    .filter(one -> one.request.requestClass() < held.length)
+                    .forEach(one -> count(now, one, held, oldest));
+        }
         return new Load(held, oldest, givenUp.clone());
     }
 
+    private static void count(long now, Held one, int[] held, long[] oldest) {
+        int type = one.request.requestClass();
+        held[type]++;
+        oldest[type] = Math.max(oldest[type], now - one.arrived);
+    }
+
     @Override
     public void timer(long now, long token) {
         if (token == WATCH) {
@@ -407,8 +401,7 @@
             giveUp(now, held, 2 * testGapUs, node == null ? Reason.NO_NODE : Reason.SILENT);
         } else if (held.aim < now + LEAST_AIM_PART * held.type.aimUs()) {
             // Past the aim of the first try a repeat earns little, yet costs as much. Covers every
-            // overload
-            // in which clients ask again; may hurt where late answers are worth much.
+            // overload in which clients ask again; may hurt where late answers are worth much.
             giveUp(now, held, 0, Reason.LATE_REPEAT);
         } else if (node.coldRoom(now) < held.request.units()) {
             giveUp(now, held, limits.fallUs(), Reason.COLD);
@@ -751,16 +744,15 @@
             case ERROR -> heard(now, node, true);
             case TIMEOUT -> {
                 // Or only what came in time would be learned from, and clients of little patience
-                // would make
-                // a crowded node look quick. Covers those; a hang is told by silence and teaches no
-                // speed.
+                // would make a crowded node look quick. Covers those; a hang is told by silence and
+                // teaches no speed.
                 if (outcome.latencyUs() > sent.expected() && outcome.latencyUs() < SILENT_US) {
                     teach(now, node, sent, outcome.latencyUs());
                 }
             }
             case FULL -> node.restUntil = now + FULL_REST_US;
-            case CONNECT_FAILED,
-                    RESET -> { // one reset may end its connection only, a second unanswered not
+            case CONNECT_FAILED, RESET -> {
+                // one reset may end its connection only, a second unanswered not
                 node.down =
                         outcome.status() == Status.CONNECT_FAILED || node.resetAt > node.answeredAt;
                 node.resetAt = now;
@@ -858,8 +850,8 @@
         if (node.ready && now - node.testedAt >= testGapUs && silent(now, node)) {
             node.testedAt = now;
             node.trustedUntil = limits.probes() ? node.trustedUntil : now + FRESH_US;
-            node.down &=
-                    limits.probes(); // else a request tests: one reset must not bar a node for good
+            // else a request tests: one reset must not bar a node for good
+            node.down &= limits.probes();
             if (limits.probes()) {
                 actions.probe(node.address);
             }
--- a/src/main/java/cypressglade/core/Engine.java
+++ b/src/main/java/cypressglade/core/Engine.java
@@ -192,29 +192,27 @@
     }
 
     private void grant() {
-        granted.ifPresent(
-                held -> {
-                    Map<Long, Double> cold = new HashMap<>();
-                    directory.facts(scheduler.views(now())).stream()
-                            .filter(fact -> Asked.cold(fact.view()))
-                            .forEach(
-                                    fact ->
-                                            cold.put(
-                                                    fact.view().node(),
-                                                    held.cold()
-                                                            .getOrDefault(
-                                                                    Asked.node(fact),
-                                                                    held.coldRest())));
-                    scheduler.parts(
-                            now(),
-                            new Scheduler.Parts(
-                                            held.volumes(),
-                                            cold,
-                                            held.rest(),
-                                            held.least(),
-                                            Micros.of(held.until()))
-                                    .among(beside));
-                });
+        granted.ifPresent(this::divide);
+    }
+
+    private void divide(Granted held) {
+        Map<Long, Double> cold = new HashMap<>();
+        directory.facts(scheduler.views(now())).stream()
+                .filter(fact -> Asked.cold(fact.view()))
+                .forEach(fact -> cold.put(fact.view().node(), coldPart(held, fact)));
+        scheduler.parts(
+                now(),
+                new Scheduler.Parts(
+                                held.volumes(),
+                                cold,
+                                held.rest(),
+                                held.least(),
+                                Micros.of(held.until()))
+                        .among(beside));
+    }
+
+    private static double coldPart(Granted held, NodeFact fact) {
+        return held.cold().getOrDefault(Asked.node(fact), held.coldRest());
     }
 
     /** How long what was sent to a cold node counts, by the settings at the start. */
@@ -398,8 +396,7 @@
                 return;
             } catch (RuntimeException fault) {
                 // One faulty event must not take the others' answers: the task of its request still
-                // answers
-                // by the deadline.
+                // answers by the deadline.
                 counters.add(Counters.Name.MODULE_FAULTS);
                 LOG.log(System.Logger.Level.ERROR, "decision module", fault);
             }
--- a/src/main/java/cypressglade/core/Gate.java
+++ b/src/main/java/cypressglade/core/Gate.java
@@ -27,8 +27,8 @@
 final class Gate implements Storms.Out {
     private static final System.Logger LOG = System.getLogger(Gate.class.getName());
     private static final double US = 1e6;
-    private static final double FREE_RESENDS =
-            5; // in a window, beside the share: a calm place needs a few
+    // In a window, beside the share: a calm place needs a few.
+    private static final double FREE_RESENDS = 5;
     private static final Duration BUDGET_WINDOW = Duration.ofSeconds(1);
 
     private final Counters counters;
--- a/src/main/java/cypressglade/core/Mailbox.java
+++ b/src/main/java/cypressglade/core/Mailbox.java
@@ -21,9 +21,8 @@
     /** Adds an item; any thread may, and none is held up. */
     void add(T item) {
         waiting.add(item);
-        Thread asleep =
-                taker; // set before the taker looks once more, so that one of the two sees the
-        // other
+        // set before the taker looks once more, so that one of the two sees the other
+        Thread asleep = taker;
         if (asleep != null) {
             LockSupport.unpark(asleep);
         }
--- a/src/main/java/cypressglade/core/RequestLife.java
+++ b/src/main/java/cypressglade/core/RequestLife.java
@@ -279,8 +279,8 @@
                 stopped = true;
                 out.abandon();
             } else if (signal instanceof Gone) {
-                gone = true; // an attempt that has begun runs on: what becomes of it still tells
-                // of its node
+                // an attempt that has begun runs on: what becomes of it still tells of its node
+                gone = true;
                 engine.withdrawn(this, true);
             }
         }
--- a/src/main/java/cypressglade/http/ClientListener.java
+++ b/src/main/java/cypressglade/http/ClientListener.java
@@ -491,8 +491,8 @@
         // closes it.
         exchange.getRequestReceiver().setMaxBufferSize(MOST_BODY);
         // Where the body comes after a 100 Continue, this runs as a root handler: an exchange that
-        // is not
-        // dispatched by its end is ended by the framework with an empty 200, which no node made.
+        // is not dispatched by its end is ended by the framework with an empty 200, which no node
+        // made.
         exchange.getRequestReceiver()
                 .receiveFullBytes(
                         (same, body) ->
@@ -786,22 +786,23 @@
             HttpServerConnection connection, ClientConnection client, int status) {
         client.answered = true;
         try {
-            connection
-                    .getOriginalSinkConduit()
-                    .write(
-                            ByteBuffer.wrap(
-                                    ("HTTP/1.1 "
-                                                    + status
-                                                    + " "
-                                                    + StatusCodes.getReason(status)
-                                                    + "\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
-                                            .getBytes(StandardCharsets.US_ASCII)));
+            connection.getOriginalSinkConduit().write(closingAnswer(status));
             closeInOrder(client);
         } catch (IOException gone) {
             close(client);
         }
     }
 
+    private static ByteBuffer closingAnswer(int status) {
+        String head =
+                "HTTP/1.1 "
+                        + status
+                        + " "
+                        + StatusCodes.getReason(status)
+                        + "\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+        return ByteBuffer.wrap(head.getBytes(StandardCharsets.US_ASCII));
+    }
+
     /** The answer to one exchange. */
     private final class Answer implements Caller {
         private final HttpServerExchange exchange;
--- a/src/main/java/cypressglade/lab/FaultScript.java
+++ b/src/main/java/cypressglade/lab/FaultScript.java
@@ -14,14 +14,17 @@
  * verb and its words; empty lines and those that begin with {@code #} are skipped:
  *
  * <pre>
- * 0s     delay * * 1ms..20ms      of each datagram on these one-way links: FROM TO, * for all, or 0,1,4
+ * 0s     delay * * 1ms..20ms      of each datagram on these one-way links: FROM TO, * for all,
+ *                                 or 0,1,4
  * 0s     loss * * 0.1             the share that is lost; likewise twice, out-of-turn
  * 2s     cut 0,1 2,3,4            both ways between the two groups
  * 2s     cut-one-way 1 2          what 1 sends to 2 is lost
  * 12s    mend                     all cuts
- * 3s     kill 2                   SIGKILL; likewise stop (SIGTERM), start, stall (SIGSTOP), resume (SIGCONT)
+ * 3s     kill 2                   SIGKILL; likewise stop (SIGTERM), start, stall (SIGSTOP),
+ *                                 resume (SIGCONT)
  * 20s    expect-dead 2 5s         every member that runs holds it dead within the time
- * 20s    expect-one-view 5s       every member that runs holds every other that runs alive within the time
+ * 20s    expect-one-view 5s       every member that runs holds every other that runs alive
+ *                                 within the time
  * </pre>
  */
 public record FaultScript(List<Step> steps) {
@@ -111,21 +114,19 @@
         return new FaultScript(List.copyOf(steps));
     }
 
+    private static IllegalArgumentException noVerb() {
+        List<String> verbs = Stream.of(Verb.values()).map(Verb::text).toList();
+        return new IllegalArgumentException(
+                "a line is TIME VERB ..., VERB one of " + String.join(" ", verbs));
+    }
+
     private static Step step(String[] words, int members) {
         Duration at = time(words[0]);
         Verb verb =
                 Stream.of(Verb.values())
                         .filter(one -> words.length > 1 && one.text().equals(words[1]))
                         .findFirst()
-                        .orElseThrow(
-                                () ->
-                                        new IllegalArgumentException(
-                                                "a line is TIME VERB ..., VERB one of "
-                                                        + String.join(
-                                                                " ",
-                                                                Stream.of(Verb.values())
-                                                                        .map(Verb::text)
-                                                                        .toList())));
+                        .orElseThrow(FaultScript::noVerb);
         if (words.length != verb.words + 2) {
             throw new IllegalArgumentException(
                     verb.text() + " takes " + verb.words + " words, not " + (words.length - 2));
--- a/src/main/java/cypressglade/lab/MemberLab.java
+++ b/src/main/java/cypressglade/lab/MemberLab.java
@@ -73,19 +73,7 @@
                         net,
                         () ->
                                 net.running.values().stream()
-                                        .allMatch(
-                                                swim ->
-                                                        swim.present().stream()
-                                                                .allMatch(
-                                                                        member ->
-                                                                                number(
-                                                                                                        member
-                                                                                                                .name())
-                                                                                                < side
-                                                                                        == number(
-                                                                                                        swim.self()
-                                                                                                                .name())
-                                                                                                < side)),
+                                        .allMatch(swim -> presentOnItsSide(swim, side)),
                         from);
         return new Result(
                 found,
@@ -93,8 +81,10 @@
                         .filter(
                                 change ->
                                         change.member().state() == State.DEAD
-                                                && number(change.seenBy()) < side
-                                                        == number(change.member().name()) < side)
+                                                && sameSide(
+                                                        change.seenBy(),
+                                                        change.member().name(),
+                                                        side))
                         .count(),
                 net.sent - before,
                 periods(net, from),
@@ -141,16 +131,7 @@
         long settled =
                 waitFor(
                         net,
-                        () ->
-                                net.running.values().stream()
-                                        .allMatch(
-                                                swim ->
-                                                        swim.list().stream()
-                                                                .allMatch(
-                                                                        member ->
-                                                                                member.state()
-                                                                                        == State
-                                                                                                .ALIVE)),
+                        () -> net.running.values().stream().allMatch(MemberLab::allAlive),
                         healed);
         Instant one = net.now;
         net.pass(timing.period().multipliedBy(SETTLE_PERIODS));
@@ -193,6 +174,20 @@
         return Duration.between(since, net.now).toMillis();
     }
 
+    private static boolean presentOnItsSide(Swim swim, int side) {
+        return swim.present().stream()
+                .allMatch(member -> sameSide(member.name(), swim.self().name(), side));
+    }
+
+    /** Whether both are among the first {@code side} members, or both among the rest. */
+    private static boolean sameSide(String one, String other, int side) {
+        return number(one) < side == number(other) < side;
+    }
+
+    private static boolean allAlive(Swim swim) {
+        return swim.list().stream().allMatch(member -> member.state() == State.ALIVE);
+    }
+
     private static boolean present(Swim swim, String name) {
         return swim.list().stream()
                 .anyMatch(member -> member.name().equals(name) && member.present());
@@ -209,15 +204,14 @@
                                 !change.at().isBefore(since)
                                         && change.member().state() == State.DEAD
                                         && !gone.contains(change.member().name())
-                                        && seen.add(
-                                                change.seenBy()
-                                                        + " "
-                                                        + change.member().name()
-                                                        + " "
-                                                        + change.member().incarnation()))
+                                        && seen.add(text(change)))
                 .count();
     }
 
+    private static String text(MemberNet.Change change) {
+        return change.seenBy() + " " + change.member().name() + " " + change.member().incarnation();
+    }
+
     private double periods(MemberNet net, Instant since) {
         return (double) Duration.between(since, net.now).toNanos() / timing.period().toNanos();
     }
--- a/src/main/java/cypressglade/lab/MemberNet.java
+++ b/src/main/java/cypressglade/lab/MemberNet.java
@@ -80,6 +80,12 @@
         return new InetSocketAddress("127.0.0.1", 1000 + number);
     }
 
+    private void deliver(String there, Message message, Member from) {
+        if (running.containsKey(there)) {
+            running.get(there).receive(message, from.address(), now);
+        }
+    }
+
     /** Starts an instance, or starts it again, that seeks the others at the first address. */
     public Swim start(int number) {
         String name = "i-" + number;
@@ -98,28 +104,11 @@
                                 sent++;
                                 String there = names.get(to);
                                 if (random.nextDouble() >= loss && !cut.test(name, there)) {
-                                    int delay =
-                                            leastDelayMs
-                                                    + random.nextInt(
-                                                            Math.max(
-                                                                    1,
-                                                                    mostDelayMs
-                                                                            - leastDelayMs
-                                                                            + 1));
+                                    int span = Math.max(1, mostDelayMs - leastDelayMs + 1);
+                                    int delay = leastDelayMs + random.nextInt(span);
                                     after(
                                             Duration.ofMillis(delay),
-                                            () ->
-                                                    at(
-                                                            there,
-                                                            () -> {
-                                                                if (running.containsKey(there)) {
-                                                                    running.get(there)
-                                                                            .receive(
-                                                                                    message,
-                                                                                    self.address(),
-                                                                                    now);
-                                                                }
-                                                            }));
+                                            () -> at(there, () -> deliver(there, message, self)));
                                 }
                             }
 
@@ -128,8 +117,9 @@
                                 String there = names.get(with);
                                 if (asking.merge(name, 1, Integer::sum) > MOST_PULLS) {
                                     asking.merge(name, -1, Integer::sum);
-                                    return; // as the program does: a list that comes from another
-                                    // soon has the same
+                                    // as the program does: a list that comes from another soon has
+                                    // the same
+                                    return;
                                 }
                                 after(
                                         EXCHANGE,
--- a/src/main/java/cypressglade/lab/ProcessFleet.java
+++ b/src/main/java/cypressglade/lab/ProcessFleet.java
@@ -504,12 +504,11 @@
                         slot ->
                                 running.stream()
                                         .filter(other -> other != slot)
-                                        .allMatch(
-                                                other ->
-                                                        text(State.ALIVE)
-                                                                .equals(
-                                                                        slot.seen.get(
-                                                                                other.name))));
+                                        .allMatch(other -> holdsAlive(slot, other)));
+    }
+
+    private static boolean holdsAlive(Slot slot, Slot other) {
+        return text(State.ALIVE).equals(slot.seen.get(other.name));
     }
 
     private long last(Predicate<Event> of) {
--- a/src/main/java/cypressglade/lab/ShareLab.java
+++ b/src/main/java/cypressglade/lab/ShareLab.java
@@ -241,9 +241,8 @@
             }
             spend();
             Member one = members.get(random.nextInt(members.size()));
-            if (window() < end - QUIET
-                    && one.up
-                    && random.nextInt(4) == 0) { // clocks differ by some windows
+            if (window() < end - QUIET && one.up && random.nextInt(4) == 0) {
+                // clocks differ by some windows
                 given.add(
                         one.sharing.give(
                                 "node s-" + random.nextInt(3),
@@ -252,30 +251,22 @@
             }
         }
         List<Verdict> held = members.get(0).sharing.verdicts();
-        int lost =
-                (int)
-                        given.stream()
-                                .filter(
-                                        verdict ->
-                                                held.stream()
-                                                        .noneMatch(
-                                                                holds ->
-                                                                        holds.subject()
-                                                                                        .equals(
-                                                                                                verdict
-                                                                                                        .subject())
-                                                                                && !holds.at()
-                                                                                        .isBefore(
-                                                                                                verdict
-                                                                                                        .at())))
-                                .count();
+        long lost =
+                given.stream()
+                        .filter(verdict -> held.stream().noneMatch(holds -> covers(holds, verdict)))
+                        .count();
         double sum = members.stream().mapToDouble(member -> member.part(VOLUME)).sum();
         return new Found(
                 overshoot,
                 overload,
                 sum,
                 members.stream().allMatch(member -> member.sharing.verdicts().equals(held)),
-                lost);
+                (int) lost);
+    }
+
+    /** Whether a verdict that is held is on the subject of the one given, and as late or later. */
+    private static boolean covers(Verdict held, Verdict given) {
+        return held.subject().equals(given.subject()) && !held.at().isBefore(given.at());
     }
 
     private void restarts() {
--- a/src/main/java/cypressglade/lab/StormLab.java
+++ b/src/main/java/cypressglade/lab/StormLab.java
@@ -33,8 +33,8 @@
     private static final Duration PATIENCE = Duration.ofSeconds(2);
     private static final Duration LONGEST_ADVICE = Duration.ofSeconds(1);
     private static final Duration PLAIN_ADVICE = Duration.ofMillis(50);
-    private static final Duration TEST_GAP =
-            Duration.ofMillis(62); // of all schedulers, at a silent node
+    // Of all schedulers, at a silent node.
+    private static final Duration TEST_GAP = Duration.ofMillis(62);
     private static final Duration LOOK = Duration.ofMillis(500);
     private static final Duration FLUSH = Duration.ofSeconds(2);
     private static final int MOST_TRIES = 20;
--- a/src/main/java/cypressglade/learn/Belief.java
+++ b/src/main/java/cypressglade/learn/Belief.java
@@ -38,8 +38,7 @@
      */
     Optional<Taught> taught(String node, long listedUs) {
         // Of two words on warmth the colder holds, the own list's among them. What was said of an
-        // earlier run
-        // of the node is of no use: the run that it was about is over.
+        // earlier run of the node is of no use: the run that it was about is over.
         long startedUs = words.stream().mapToLong(Word::startedUs).reduce(listedUs, Math::max);
         words = words.stream().filter(word -> word.startedUs() == startedUs).toList();
         Optional<Instant> newest = words.stream().map(Word::at).max(Instant::compareTo);
--- a/src/main/java/cypressglade/learn/Learner.java
+++ b/src/main/java/cypressglade/learn/Learner.java
@@ -138,8 +138,7 @@
                     && before.startedUs() == view.startedUs()
                     && !(before.silent() && seenSince(before.at(), view, now))) {
                 // The module holds a node for silent only while something is out there. Until a
-                // sign of life
-                // comes the word stands, at the age of what it was seen by.
+                // sign of life comes the word stands, at the age of what it was seen by.
                 words.put(id, before);
             }
             judge(fact);
--- a/src/main/java/cypressglade/member/Swim.java
+++ b/src/main/java/cypressglade/member/Swim.java
@@ -536,8 +536,8 @@
                 && told.life() != entry.member.life()
                 && entry.member.present()
                 && !told.address().equals(entry.member.address())) {
-            namesRefused++; // another process under a name in use; a restart comes at the same
-            // address
+            // another process under a name in use; a restart comes at the same address
+            namesRefused++;
             out.refused(entry.member, told);
             return;
         }
--- a/src/main/java/cypressglade/nbd/Transmission.java
+++ b/src/main/java/cypressglade/nbd/Transmission.java
@@ -33,8 +33,8 @@
     private static final int MOST_UNSENT = 2 * MOST_LENGTH;
     private static final int BLOCK = 4096;
     private static final long KEY_STEP = 0x9e3779b97f4a7c15L; // spreads block numbers over the keys
-    private static final Duration MARGIN =
-            Duration.ofMillis(20); // for the reply to get back in time
+    // For the reply to get back in time.
+    private static final Duration MARGIN = Duration.ofMillis(20);
 
     private final NbdListener front;
     private final Wire wire;
--- a/src/main/java/cypressglade/net/Listening.java
+++ b/src/main/java/cypressglade/net/Listening.java
@@ -28,11 +28,8 @@
                             @Override
                             public void accepted(StreamConnection connection) {
                                 noteAccepted();
-                                loop.execute(
-                                        () ->
-                                                accepted.accept(
-                                                        connection)); // behind what was told before
-                                // it came
+                                // behind what was told before it came
+                                loop.execute(() -> accepted.accept(connection));
                             }
 
                             @Override
--- a/src/main/java/cypressglade/net/NodePool.java
+++ b/src/main/java/cypressglade/net/NodePool.java
@@ -121,8 +121,7 @@
                 return Optional.of(last.wire);
             } else {
                 // Guards against bytes behind an answer that are here but not heard of yet: they
-                // would be
-                // taken for the next answer.
+                // would be taken for the next answer.
                 counters.add(Counters.Name.STRAY_BYTES);
                 close(last.wire);
             }
--- a/src/main/java/cypressglade/operate/Door.java
+++ b/src/main/java/cypressglade/operate/Door.java
@@ -78,7 +78,8 @@
                             .map(view -> "200 " + view)
                             .orElse(
                                     "400 no fleet view is kept here: "
-                                            + "set \"view\": true in the file that --peers names, and restart");
+                                            + "set \"view\": true in the file that --peers names, "
+                                            + "and restart");
             default -> unknown(line);
         };
     }
--- a/src/main/java/cypressglade/operate/HandDrains.java
+++ b/src/main/java/cypressglade/operate/HandDrains.java
@@ -131,6 +131,13 @@
                         list.entries().stream().map(this::held).toList()));
     }
 
+    /** Whether {@code one} is another node of the entry's cell, and ready. */
+    private boolean standsIn(Entry one, Entry entry) {
+        return one.cell() == entry.cell()
+                && !one.id().equals(entry.id())
+                && held(one).state() == State.READY;
+    }
+
     private Entry held(Entry entry) {
         return entry.state() == State.READY
                         && (drains.containsKey(entry.id()) || bans.contains(entry.id()))
@@ -159,13 +166,7 @@
                     if (drains.containsKey(entry.id())) {
                         return new Result(Kind.ALREADY, entry.id(), List.of());
                     }
-                    boolean other =
-                            told.values().stream()
-                                    .anyMatch(
-                                            one ->
-                                                    one.cell() == entry.cell()
-                                                            && !one.id().equals(entry.id())
-                                                            && held(one).state() == State.READY);
+                    boolean other = told.values().stream().anyMatch(one -> standsIn(one, entry));
                     if (!other && entry.state() == State.READY && !order.force()) {
                         return new Result(
                                 Kind.ONLY_NODE,
--- a/src/main/java/cypressglade/peer/Peers.java
+++ b/src/main/java/cypressglade/peer/Peers.java
@@ -62,8 +62,8 @@
  */
 public final class Peers implements AutoCloseable {
     private static final System.Logger LOG = System.getLogger(Peers.class.getName());
-    private static final Duration LOOK =
-            Duration.ofMillis(250); // a silence of one request lasts longer
+    // A silence of one request lasts longer.
+    private static final Duration LOOK = Duration.ofMillis(250);
     private static final long VIEW_WAIT_MS = 500; // half of what a caller at the door waits
     private static final Duration CENSUS_HOLD = Duration.ofSeconds(30);
     private static final Duration STOP_WAIT = Duration.ofMillis(500);
@@ -74,8 +74,8 @@
     private static final int MEMBERS_A_FRAME = 200;
     private static final int BIND_TRIES = 8;
     private static final int MOST_HELD = 64;
-    private static final int MOST_SHORT_ANSWERS =
-            50; // between two looks: to unknown lives and versions
+    // Between two looks: to unknown lives and versions.
+    private static final int MOST_SHORT_ANSWERS = 50;
 
     private final PeersConfig config;
     private final Loop loop;
@@ -383,25 +383,7 @@
                         learned.countDown(); // nobody to learn from
                     }
                     repeat(() -> swim.tick(Time.now()), swim::due);
-                    sharing.ifPresent(
-                            kept -> {
-                                kept.begin();
-                                repeat(
-                                        () ->
-                                                kept.tick(
-                                                        swim.present().stream()
-                                                                .collect(
-                                                                        Collectors.toMap(
-                                                                                Member::name,
-                                                                                Member::address,
-                                                                                (one, other) ->
-                                                                                        one)),
-                                                        Time.now()),
-                                        () ->
-                                                kept.due(Time.now())
-                                                        .plusMillis(
-                                                                1)); // past the edge of its window
-                            });
+                    sharing.ifPresent(this::begin);
                 });
         owner.scheduleWithFixedDelay(
                 guarded(this::refresh),
@@ -410,6 +392,21 @@
                 TimeUnit.MILLISECONDS);
     }
 
+    private void begin(Sharing<InetSocketAddress> kept) {
+        kept.begin();
+        // past the edge of its window
+        repeat(() -> tick(kept), () -> kept.due(Time.now()).plusMillis(1));
+    }
+
+    private void tick(Sharing<InetSocketAddress> kept) {
+        Map<String, InetSocketAddress> present =
+                swim.present().stream()
+                        .collect(
+                                Collectors.toMap(
+                                        Member::name, Member::address, (one, other) -> one));
+        kept.tick(present, Time.now());
+    }
+
     /** Both sockets have one port; where it is any, the one that TCP got may be taken on UDP. */
     private void bind(InetSocketAddress listen) throws IOException {
         for (int i = 1; transfers == null; i++) {
@@ -648,24 +645,11 @@
                     }
                     envelope.message()
                             .ifPresent(message -> swim.receive(message, from, Time.now()));
-                    envelope.notice()
-                            .ifPresent(
-                                    notice ->
-                                            sharing.ifPresent(
-                                                    shared -> shared.receive(notice, from)));
+                    envelope.notice().ifPresent(notice -> receive(notice, from));
                 }
                 case UNKNOWN_LIFE -> {
                     if (envelope.says()) { // or two would tell each other without end
-                        answerShortly(
-                                from,
-                                Sealed.seal(
-                                        keys,
-                                        Codec.bytes(
-                                                new Envelope(
-                                                        life,
-                                                        envelope.from(),
-                                                        guard.next(),
-                                                        Optional.empty()))));
+                        answerShortly(from, ownLife(envelope.from()));
                     }
                 }
                 default -> throw new Sealed.Refused(Sealed.Fault.REPLAYED);
@@ -680,6 +664,16 @@
         }
     }
 
+    private void receive(Notice notice, InetSocketAddress from) {
+        sharing.ifPresent(shared -> shared.receive(notice, from));
+    }
+
+    /** A sealed envelope without content: tells an instance the life of this one. */
+    private byte[] ownLife(long to) {
+        Envelope envelope = new Envelope(life, to, guard.next(), Optional.empty());
+        return Sealed.seal(keys, Codec.bytes(envelope));
+    }
+
     private void answerShortly(InetSocketAddress to, byte[] answer) {
         if (shortAnswers++ < MOST_SHORT_ANSWERS) {
             datagrams.send(to, answer);
@@ -743,13 +737,11 @@
                                     volumes.put(Key.volume(key), part);
                                 } else {
                                     Key.run(key)
-                                            .ifPresent(
+                                            .map(
                                                     run ->
-                                                            cold.put(
-                                                                    new Asked.ColdNode(
-                                                                            run.id(),
-                                                                            run.startedUs()),
-                                                                    part));
+                                                            new Asked.ColdNode(
+                                                                    run.id(), run.startedUs()))
+                                            .ifPresent(node -> cold.put(node, part));
                                 }
                             });
             engine.grant(
@@ -880,17 +872,13 @@
                                 file.newest(
                                         Instant.now(),
                                         config.snapshots().get().mostAge(),
-                                        found ->
-                                                Codec.snapshot(
-                                                                found.body(),
-                                                                config.name(),
-                                                                found.age(),
-                                                                Time.now())
-                                                        .orElseThrow(
-                                                                () ->
-                                                                        new IOException(
-                                                                                "another instance's")),
+                                        this::words,
                                         this::ignored))
                 .ifPresent(words -> learner.take(words, Time.now()));
     }
+
+    private List<Word> words(SnapshotStore.Found found) throws IOException {
+        return Codec.snapshot(found.body(), config.name(), found.age(), Time.now())
+                .orElseThrow(() -> new IOException("another instance's"));
+    }
 }
--- a/src/main/java/cypressglade/share/Shares.java
+++ b/src/main/java/cypressglade/share/Shares.java
@@ -118,14 +118,11 @@
     public Grant grant(long window) {
         List<Report> agreed = agreed(window);
         Map<String, Double> parts = new HashMap<>();
-        agreed.forEach(
-                report ->
-                        report.wanted()
-                                .keySet()
-                                .forEach(
-                                        key ->
-                                                parts.computeIfAbsent(
-                                                        key, each -> part(each, agreed))));
+        for (Report report : agreed) {
+            for (String key : report.wanted().keySet()) {
+                parts.computeIfAbsent(key, each -> part(each, agreed));
+            }
+        }
         double rest = part("", agreed);
         return new Grant(window, parts, rest, rest, agreed.size());
     }
--- a/src/main/java/cypressglade/share/Sharing.java
+++ b/src/main/java/cypressglade/share/Sharing.java
@@ -172,26 +172,7 @@
         Set<String> heard = new HashSet<>(present.keySet());
         heard.add(self);
         shares.report(window, heard, most)
-                .ifPresent(
-                        report ->
-                                Notice.pieces(report, names)
-                                        .forEach(
-                                                piece ->
-                                                        present.values()
-                                                                .forEach(
-                                                                        to ->
-                                                                                out.send(
-                                                                                        to,
-                                                                                        new Notice(
-                                                                                                verdicts
-                                                                                                        .digest(),
-                                                                                                Map
-                                                                                                        .of(),
-                                                                                                List
-                                                                                                        .of(
-                                                                                                                piece),
-                                                                                                List
-                                                                                                        .of())))));
+                .ifPresent(report -> Notice.pieces(report, names).forEach(this::spread));
         stale |= window <= current - terms.lag();
         grant();
     }
@@ -225,17 +206,16 @@
         return verdict;
     }
 
+    private void spread(Piece piece) {
+        for (A to : present.values()) {
+            out.send(to, new Notice(verdicts.digest(), Map.of(), List.of(piece), List.of()));
+        }
+    }
+
     private void spread(Verdict verdict) {
-        present.values()
-                .forEach(
-                        to ->
-                                out.send(
-                                        to,
-                                        new Notice(
-                                                verdicts.digest(),
-                                                Map.of(),
-                                                List.of(),
-                                                List.of(verdict))));
+        for (A to : present.values()) {
+            out.send(to, new Notice(verdicts.digest(), Map.of(), List.of(), List.of(verdict)));
+        }
     }
 
     private void take(Piece piece) {
@@ -277,17 +257,16 @@
         return held;
     }
 
+    /** Whether the sender of a notice names the report's window and does not hold the report. */
+    private boolean lacks(Notice notice, Report report) {
+        return notice.held().containsKey(report.window())
+                && (notice.held().get(report.window()) & 1L << names.indexOf(report.name())) == 0;
+    }
+
     private void answer(Notice notice, A from) {
         List<Piece> lacking =
                 shares.since(current - terms.lag()).stream()
-                        .filter(
-                                report ->
-                                        notice.held().containsKey(report.window())
-                                                && (notice.held().get(report.window())
-                                                                & 1L
-                                                                        << names.indexOf(
-                                                                                report.name()))
-                                                        == 0)
+                        .filter(report -> lacks(notice, report))
                         .sorted(
                                 Comparator.comparingLong(Report::window)
                                         .thenComparing(Report::name))
--- a/src/main/java/cypressglade/storm/ComeBacks.java
+++ b/src/main/java/cypressglade/storm/ComeBacks.java
@@ -114,8 +114,8 @@
         // time.
         for (; at <= last && left > 0; at++) {
             double free = each - booked.getOrDefault(at, 0.0);
-            if (free <= LEAST_ROOM) { // work that began before a full slot would meet what is
-                // promised there
+            if (free <= LEAST_ROOM) {
+                // work that began before a full slot would meet what is promised there
                 parts.clear();
                 left = refused.units();
                 begin = at + 1;
--- a/src/main/java/cypressglade/storm/Storms.java
+++ b/src/main/java/cypressglade/storm/Storms.java
@@ -31,8 +31,8 @@
     /** Slots held at a time over all nodes, some 300 bytes each. */
     private static final int MOST_SLOTS = 32_768;
 
-    private static final Duration GRACE =
-            Duration.ofMillis(250); // an answer's way there and the try's back
+    // An answer's way there and the try's back.
+    private static final Duration GRACE = Duration.ofMillis(250);
     private static final Duration MEMORY = Duration.ofSeconds(1);
 
     /**
@@ -42,8 +42,8 @@
     private static final double LEAST_ROOM = 0.1;
 
     private static final double NEW_OBJECTS = 0.1;
-    private static final double SERVED =
-            0.5; // second tries let by for one that was served, while damping
+    // Second tries let by for one that was served, while damping.
+    private static final double SERVED = 0.5;
     private static final double SPREAD = 0.25; // of the longest advice, where nothing is promised
 
     private final Terms terms;
--- a/src/test/java/cypressglade/cli/MainTest.java
+++ b/src/test/java/cypressglade/cli/MainTest.java
@@ -93,8 +93,8 @@
         try (var lines = process.inputReader()) {
             assertThat(lines.readLine()).startsWith("listening on ");
             process.toHandle().destroy(); // unlike the process, leaves its output open
-            hangUp(process); // neither this nor a second signal to stop calls the stop off, or
-            // cuts it short
+            // neither this nor a second signal to stop calls the stop off, or cuts it short
+            hangUp(process);
             process.toHandle().destroy();
             assertThat(lines.lines()).contains("taken 0", "answered_served 0");
             assertThat(process.waitFor()).isZero();
@@ -132,13 +132,10 @@
                 for (String broken : List.of("{", text.replace("\"coldFrom\":0.29,", ""))) {
                     Files.writeString(file, broken);
                     hangUp(process);
-                    assertThat(
-                                    lines.lines()
-                                            .anyMatch(
-                                                    line ->
-                                                            line.contains(
-                                                                    "the old configuration stays")))
-                            .isTrue();
+                    boolean told =
+                            lines.lines()
+                                    .anyMatch(line -> line.contains("the old configuration stays"));
+                    assertThat(told).isTrue();
                 }
                 Files.writeString(file, text.replace("127.0.0.1:8500", two.hostPort()));
                 hangUp(process);
--- a/src/test/java/cypressglade/cli/StartStopTest.java
+++ b/src/test/java/cypressglade/cli/StartStopTest.java
@@ -76,9 +76,8 @@
             CompletableFuture<Void> starting = starting(scheduler);
             assertThat(discovery.requests.poll(5, TimeUnit.SECONDS)).isNotNull();
             try {
-                starting.get(
-                        300,
-                        TimeUnit.MILLISECONDS); // where it does not wait, the request comes first
+                // where it does not wait, the request comes first
+                starting.get(300, TimeUnit.MILLISECONDS);
             } catch (TimeoutException waits) {
                 tell.countDown();
                 starting.get(5, TimeUnit.SECONDS);
--- a/src/test/java/cypressglade/config/ConfigTest.java
+++ b/src/test/java/cypressglade/config/ConfigTest.java
@@ -105,7 +105,8 @@
             delimiter = '|',
             textBlock =
                     """
-            "rules":{"stopSendingWithinUs":500000,"coldFrom":0.29,"rampTimeUs":17000000,"overloadFactor":2.0,"fallUs":1000000}, | '' | settings.rules.
+            "rules":{"stopSendingWithinUs":500000,"coldFrom":0.29,"rampTimeUs":17000000,\
+            "overloadFactor":2.0,"fallUs":1000000}, | '' | settings.rules.
             "coldFrom":0.29, | '' | settings.rules.coldFrom
             "balancers":1, | '' | settings.balancers
             "name":"standard", | '' | settings.plans.1.name
@@ -126,11 +127,11 @@
     void aReloadMayAddAndDropClassesAndValues() throws Exception {
         Config inForce = config("", "");
         config("\"attemptsCap\":3", "\"attemptsCap\":1").checkAfter(inForce);
-        config(
-                        "{\"name\":\"job-write\"",
-                        "{\"name\":\"job-more\",\"effect\":\"idempotency_key\",\"keyTtlUs\":1,"
-                                + "\"objectiveUs\":1,\"deadlineUs\":1,\"worth\":1,\"lateWorth\":0},{\"name\":\"job-write\"")
-                .checkAfter(inForce);
+        String more =
+                "{\"name\":\"job-more\",\"effect\":\"idempotency_key\",\"keyTtlUs\":1,"
+                        + "\"objectiveUs\":1,\"deadlineUs\":1,\"worth\":1,\"lateWorth\":0},";
+        String write = "{\"name\":\"job-write\"";
+        config(write, more + write).checkAfter(inForce);
         config("\"version\":41", "\"version\":42").checkAfter(inForce);
     }
 
--- a/src/test/java/cypressglade/console/ScreenTest.java
+++ b/src/test/java/cypressglade/console/ScreenTest.java
@@ -217,12 +217,11 @@
 
     @Test
     void framesAreReadAndWhatIsMissingIsEmpty() throws Exception {
-        View view =
-                View.of(
-                        new ObjectMapper()
-                                .readTree(
-                                        "{\"nodes\":[{\"id\":\"a\",\"us_a_unit\":1500}],\"events\":"
-                                                + "[{\"number\":1,\"at\":\"2026-01-01T12:34:56.789Z\",\"event\":\"drain.done\",\"node\":\"a\"}]}"));
+        String event =
+                "{\"number\":1,\"at\":\"2026-01-01T12:34:56.789Z\","
+                        + "\"event\":\"drain.done\",\"node\":\"a\"}";
+        String frame = "{\"nodes\":[{\"id\":\"a\",\"us_a_unit\":1500}],\"events\":[" + event + "]}";
+        View view = View.of(new ObjectMapper().readTree(frame));
         assertThat(view.nodes().get(0).msPerUnit()).isEqualTo(1.5);
         assertThat(view.events()).containsExactly("12:34:56  drain.done  node=a");
         assertThat(View.of(new ObjectMapper().readTree("{}"))).isEqualTo(View.EMPTY);
--- a/src/test/java/cypressglade/control/ConsoleMeasure.java
+++ b/src/test/java/cypressglade/control/ConsoleMeasure.java
@@ -45,8 +45,8 @@
      */
     private static final int PAIRS = 48;
 
-    private static final long SLICE_MS =
-            300; // short, so that what drifts on the machine is the same in both of a pair
+    // Short, so that what drifts on the machine is the same in both of a pair.
+    private static final long SLICE_MS = 300;
     private static final long SETTLE_MS = 50;
     private static final double BOUND = 0.02;
     private static final int DRAINS = 100;
@@ -102,19 +102,10 @@
             for (int i = 0; ; i++) {
                 LockSupport.parkNanos(next - System.nanoTime());
                 long asked = System.nanoTime();
-                socket.getOutputStream()
-                        .write(
-                                Site.request(
-                                                "GET",
-                                                String.format("/job-read/%016x/%016x", client, i),
-                                                Site.headers(
-                                                        900,
-                                                        "standard",
-                                                        "units=2,shard="
-                                                                + (client + i) % NODES
-                                                                + ",hosts=1"),
-                                                "")
-                                        .getBytes(StandardCharsets.ISO_8859_1));
+                String path = String.format("/job-read/%016x/%016x", client, i);
+                String cost = "units=2,shard=" + (client + i) % NODES + ",hosts=1";
+                String request = Site.request("GET", path, Site.headers(900, "standard", cost), "");
+                socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
                 if (HttpPeer.Message.read(in).status() == 200) {
                     latency.recordValue((System.nanoTime() - asked) / 1000);
                 }
@@ -258,13 +249,11 @@
             List<CompletableFuture<Boolean>> orders =
                     IntStream.range(0, 3)
                             .mapToObj(
-                                    j ->
-                                            CompletableFuture.supplyAsync(
-                                                    () ->
-                                                            acted(
-                                                                    "drain",
-                                                                    node,
-                                                                    j == 2 ? name + "b" : name)))
+                                    j -> {
+                                        String command = j == 2 ? name + "b" : name;
+                                        return CompletableFuture.supplyAsync(
+                                                () -> acted("drain", node, command));
+                                    })
                             .toList();
             int times = (int) orders.stream().filter(CompletableFuture::join).count();
             long answered = System.nanoTime();
--- a/src/test/java/cypressglade/core/MailboxTest.java
+++ b/src/test/java/cypressglade/core/MailboxTest.java
@@ -45,16 +45,7 @@
         int each = 5000;
         List<CompletableFuture<Void>> adding =
                 IntStream.range(0, 4)
-                        .mapToObj(
-                                from ->
-                                        CompletableFuture.runAsync(
-                                                () ->
-                                                        IntStream.range(0, each)
-                                                                .forEach(
-                                                                        i ->
-                                                                                box.add(
-                                                                                        from * each
-                                                                                                + i))))
+                        .mapToObj(from -> CompletableFuture.runAsync(() -> add(from, each)))
                         .toList();
         List<Integer> got = new ArrayList<>();
         while (got.size() < 4 * each) {
@@ -65,6 +56,10 @@
         assertThat(got.stream().filter(item -> item < each)).isSorted();
     }
 
+    private void add(int from, int each) {
+        IntStream.range(0, each).forEach(i -> box.add(from * each + i));
+    }
+
     @Test
     void anInterruptEndsTheWait() {
         Thread.currentThread().interrupt();
--- a/src/test/java/cypressglade/fleet/FleetViewMeasure.java
+++ b/src/test/java/cypressglade/fleet/FleetViewMeasure.java
@@ -144,14 +144,13 @@
                 detect.add(fleet.held(fleet.running(), name, State.DEAD, WAIT) - killed);
                 falseDead += fleet.deaths(killed, name, ProcessFleet.name(1)).size();
             }
-            CompletableFuture.allOf(
-                            IntStream.rangeClosed(1, 2)
-                                    .mapToObj(
-                                            victim ->
-                                                    CompletableFuture.runAsync(
-                                                            () -> start(fleet, victim)))
-                                    .toArray(CompletableFuture[]::new))
-                    .get();
+            CompletableFuture<?>[] starts =
+                    IntStream.rangeClosed(1, 2)
+                            .mapToObj(
+                                    victim ->
+                                            CompletableFuture.runAsync(() -> start(fleet, victim)))
+                            .toArray(CompletableFuture[]::new);
+            CompletableFuture.allOf(starts).get();
             settle(fleet);
             fleet.act("0s cut " + numbers(0, size * 2 / 5) + " " + numbers(size * 2 / 5, size));
             fleet.pass(SPLIT);
--- a/src/test/java/cypressglade/fleet/FleetViewTest.java
+++ b/src/test/java/cypressglade/fleet/FleetViewTest.java
@@ -2,6 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import cypressglade.lab.Faults;
 import cypressglade.lab.ProcessFleet;
 import cypressglade.member.Member.State;
@@ -176,23 +177,12 @@
         long started = now();
         String life = fleet.view(2).path("life").asText();
         fleet.start(5, "m-2");
-        assertThat(
-                        fleet.logged(
-                                started,
-                                WAIT,
-                                event ->
-                                        event.seenBy() != 5
-                                                && event.line()
-                                                        .path("fleet")
-                                                        .asText()
-                                                        .equals("name_refused")
-                                                && event.line()
-                                                        .path("known")
-                                                        .path("life")
-                                                        .asText()
-                                                        .equals(life)))
-                .as(fleet.text())
-                .isTrue();
+        boolean refused =
+                fleet.logged(
+                        started,
+                        WAIT,
+                        event -> event.seenBy() != 5 && tellsOfRefused(event.line(), life));
+        assertThat(refused).as(fleet.text()).isTrue();
         fleet.kill(5);
         fleet.pass(PERIOD.multipliedBy(4));
         assertThat(fleet.since(started))
@@ -201,4 +191,9 @@
                 .allMatch(life::equals);
         assertThat(fleet.deaths(started)).isEmpty();
     }
+
+    private static boolean tellsOfRefused(JsonNode line, String life) {
+        return line.path("fleet").asText().equals("name_refused")
+                && line.path("known").path("life").asText().equals(life);
+    }
 }
--- a/src/test/java/cypressglade/fleet/ViewTest.java
+++ b/src/test/java/cypressglade/fleet/ViewTest.java
@@ -32,9 +32,8 @@
         assertThat(first.path("member").path("state").asText()).isEqualTo("alive");
         assertThat(first.path("member").path("address").asText()).isEqualTo("127.0.0.1:1001");
         view.change(member("m-1", 7, State.SUSPECT), Instant.ofEpochSecond(2));
-        view.change(
-                member("m-1", 7, State.ALIVE),
-                Instant.ofEpochSecond(3)); // refuted in time: no flap
+        // refuted in time: no flap
+        view.change(member("m-1", 7, State.ALIVE), Instant.ofEpochSecond(3));
         view.change(member("m-1", 7, State.DEAD), Instant.ofEpochSecond(4));
         view.change(member("m-1", 8, State.ALIVE), Instant.ofEpochSecond(5));
         MemberNet net = new MemberNet(1, Timing.standard());
--- a/src/test/java/cypressglade/http/DiscoveryWatchTest.java
+++ b/src/test/java/cypressglade/http/DiscoveryWatchTest.java
@@ -38,7 +38,8 @@
     private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     private static final String DRAINS =
             "{\n  \"version\": 7,\n  \"full\": false,\n  \"servers\": [\n    {\n"
-                    + "      \"id\": \"s-{]\\\"0\",\n      \"addr\": \"127.0.0.1:1\",\n      \"cell\": 0,\n"
+                    + "      \"id\": \"s-{]\\\"0\",\n      \"addr\": \"127.0.0.1:1\",\n"
+                    + "      \"cell\": 0,\n"
                     + "      \"state\": \"leaving\",\n      \"weight\": 1.0\n    }\n  ]\n}\n";
 
     private final LinkedBlockingQueue<NodeList> told = new LinkedBlockingQueue<>();
@@ -91,8 +92,8 @@
                         ? limits.connect().plus(limits.mostAnswer()).plus(limits.again())
                         : limits.failed();
         most = most.plus(call.multipliedBy(failed));
-        Duration answer =
-                Duration.ofMillis(50); // a connection, a call and its answer, where all is well
+        // a connection, a call and its answer, where all is well
+        Duration answer = Duration.ofMillis(50);
         assertThat(most.plus(answer)).isLessThan(Duration.ofMillis(toldAfterMs));
     }
 
@@ -105,10 +106,8 @@
                                 (request, out) -> {
                                     HttpPeer.write(out, HEAD);
                                     for (int at = 0; at < DRAINS.length(); at += size) {
-                                        chunk(
-                                                out,
-                                                DRAINS.substring(
-                                                        at, Math.min(DRAINS.length(), at + size)));
+                                        int end = Math.min(DRAINS.length(), at + size);
+                                        chunk(out, DRAINS.substring(at, end));
                                     }
                                     new CountDownLatch(1).await();
                                 })) {
@@ -207,6 +206,7 @@
      */
     @Test
     void halfAnObjectKeepsNoWatchAlive() throws Exception {
+        String oneAndAHalf = "{\"version\":1,\"full\":false,\"servers\":[]}\n{\"version\":7,";
         AtomicInteger calls = new AtomicInteger();
         CountDownLatch again = new CountDownLatch(1);
         try (Loop loop = new Loop();
@@ -215,9 +215,7 @@
                                 (request, out) -> {
                                     HttpPeer.write(out, HEAD);
                                     if (calls.incrementAndGet() == 1) {
-                                        chunk(
-                                                out,
-                                                "{\"version\":1,\"full\":false,\"servers\":[]}\n{\"version\":7,");
+                                        chunk(out, oneAndAHalf);
                                         while (!again.await(200, TimeUnit.MILLISECONDS)) {
                                             chunk(out, "\n");
                                         }
--- a/src/test/java/cypressglade/http/NodeClientTest.java
+++ b/src/test/java/cypressglade/http/NodeClientTest.java
@@ -121,7 +121,8 @@
                         (request, out) -> {
                             HttpPeer.write(
                                     out,
-                                    "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf of the entry");
+                                    "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
+                                            + "half of the entry");
                             throw reset ? new StandIn.Reset() : new IOException("the end");
                         });
         assertThat(ending.status()).isEqualTo(status);
--- a/src/test/java/cypressglade/http/PassOnTest.java
+++ b/src/test/java/cypressglade/http/PassOnTest.java
@@ -29,18 +29,21 @@
  * away unrun.
  */
 class PassOnTest {
+    private static final String LAST_CLASS =
+            "\"deadlineUs\":700000,\"worth\":2.0,\"lateWorth\":0.1}";
+    private static final String KEYED_CLASS =
+            "{\"name\":\"entry-write\",\"effect\":\"idempotency_key\","
+                    + "\"dedupScope\":\"cell\",\"keyTtlUs\":3000000,"
+                    + "\"objectiveUs\":500000,\"deadlineUs\":900000,"
+                    + "\"worth\":2.0,\"lateWorth\":0.2}";
+
     /**
      * The second deployment's kind of class: writes with a key, whose repeats one cell drops for 3
      * s.
      */
     private static final UnaryOperator<String> KEYED =
             text ->
-                    text.replace(
-                                    "\"deadlineUs\":700000,\"worth\":2.0,\"lateWorth\":0.1}",
-                                    "\"deadlineUs\":700000,\"worth\":2.0,"
-                                            + "\"lateWorth\":0.1},\n   {\"name\":\"entry-write\",\"effect\":\"idempotency_key\","
-                                            + "\"dedupScope\":\"cell\",\"keyTtlUs\":3000000,\"objectiveUs\":500000,\"deadlineUs\":900000,"
-                                            + "\"worth\":2.0,\"lateWorth\":0.2}")
+                    text.replace(LAST_CLASS, LAST_CLASS + ",\n   " + KEYED_CLASS)
                             .replace(
                                     "\"changesData\":[false,true]",
                                     "\"changesData\":[false,true,true]");
--- a/src/test/java/cypressglade/learn/LearnerTest.java
+++ b/src/test/java/cypressglade/learn/LearnerTest.java
@@ -14,7 +14,6 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.SplittableRandom;
-import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -376,23 +375,9 @@
     void floodStaysWithinTheRoomAndBeliefsWithinTheWords() {
         SplittableRandom random = new SplittableRandom(7);
         List<Word> flood = new ArrayList<>();
-        IntStream.range(0, 4_000)
-                .forEach(
-                        i ->
-                                flood.add(
-                                        new Word(
-                                                "s-" + random.nextInt(1000),
-                                                0,
-                                                1 + random.nextDouble() * 1e6,
-                                                random.nextDouble() * 1e6,
-                                                random.nextDouble() * 100,
-                                                random.nextDouble(),
-                                                random.nextInt(1000),
-                                                Duration.ofMillis(random.nextInt(2)),
-                                                NOW.minusMillis(random.nextInt(120_000)),
-                                                new Origin(
-                                                        "o-" + random.nextInt(40),
-                                                        random.nextLong()))));
+        for (int i = 0; i < 4_000; i++) {
+            flood.add(anyWord(random));
+        }
         learner.take(flood, NOW);
         assertThat(learner.kept()).isLessThanOrEqualTo(100 * Hearsay.ORIGINS);
         assertThat(learner.count(Count.WORDS_NO_ROOM)).isPositive();
@@ -400,15 +385,13 @@
                 .map(Word::node)
                 .distinct()
                 .map(
-                        node ->
-                                new Belief(
-                                                flood.stream()
-                                                        .filter(word -> word.node().equals(node))
-                                                        .toList(),
-                                                NOW,
-                                                13_000,
-                                                origin -> 0.5)
-                                        .taught(node, 0))
+                        node -> {
+                            List<Word> words =
+                                    flood.stream()
+                                            .filter(word -> word.node().equals(node))
+                                            .toList();
+                            return new Belief(words, NOW, 13_000, origin -> 0.5).taught(node, 0);
+                        })
                 .flatMap(Optional::stream)
                 .forEach(
                         taught ->
@@ -423,4 +406,18 @@
         learner.own(List.of(), NOW.plus(Trust.LIFE).plusSeconds(1));
         assertThat(learner.kept()).isZero();
     }
+
+    private static Word anyWord(SplittableRandom random) {
+        return new Word(
+                "s-" + random.nextInt(1000),
+                0,
+                1 + random.nextDouble() * 1e6,
+                random.nextDouble() * 1e6,
+                random.nextDouble() * 100,
+                random.nextDouble(),
+                random.nextInt(1000),
+                Duration.ofMillis(random.nextInt(2)),
+                NOW.minusMillis(random.nextInt(120_000)),
+                new Origin("o-" + random.nextInt(40), random.nextLong()));
+    }
 }
--- a/src/test/java/cypressglade/member/SwimTest.java
+++ b/src/test/java/cypressglade/member/SwimTest.java
@@ -251,22 +251,19 @@
     @Test
     void roomForMembersIsBounded() {
         Swim swim = net.start(0);
-        IntStream.range(1, 2000)
-                .forEach(
-                        i ->
-                                swim.merge(
-                                        List.of(
-                                                new Member(
-                                                        "x-" + i,
-                                                        MemberNet.address(i),
-                                                        i,
-                                                        1,
-                                                        State.ALIVE)),
-                                        net.now));
+        for (int i = 1; i < 2000; i++) {
+            Member member = new Member("x-" + i, MemberNet.address(i), i, 1, State.ALIVE);
+            swim.merge(List.of(member), net.now);
+        }
         assertThat(swim.present()).hasSize(Timing.standard().mostMembers());
         assertThat(swim.turnedAway()).isEqualTo(1999 - Timing.standard().mostMembers());
     }
 
+    private static Member anyState(SplittableRandom random) {
+        return new Member(
+                "x", MemberNet.address(9), 5, random.nextInt(4), State.values()[random.nextInt(4)]);
+    }
+
     /**
      * Whatever order changes come in, the later incarnation holds, and within one the worse state.
      */
@@ -276,16 +273,7 @@
         for (int round = 0; round < 200; round++) {
             List<Member> told =
                     new java.util.ArrayList<>(
-                            IntStream.range(0, 8)
-                                    .mapToObj(
-                                            i ->
-                                                    new Member(
-                                                            "x",
-                                                            MemberNet.address(9),
-                                                            5,
-                                                            random.nextInt(4),
-                                                            State.values()[random.nextInt(4)]))
-                                    .toList());
+                            IntStream.range(0, 8).mapToObj(i -> anyState(random)).toList());
             told.add(0, new Member("x", MemberNet.address(9), 5, 0, State.ALIVE));
             Member last =
                     told.stream()
--- a/src/test/java/cypressglade/nbd/NbdFrontTest.java
+++ b/src/test/java/cypressglade/nbd/NbdFrontTest.java
@@ -256,9 +256,8 @@
     void writeWhoseReplyStallsHalfwayIsNotReplayedAndGetsOneErrorInTime() throws Exception {
         first.script =
                 (peer, command, out) -> {
-                    NbdPeer.chunk(
-                            command, 0, 0, 0,
-                            out); // a whole chunk that is not the last, and half of the next
+                    // a whole chunk that is not the last, and half of the next
+                    NbdPeer.chunk(command, 0, 0, 0, out);
                     out.writeInt(0x668e33ef);
                     out.flush();
                 };
@@ -342,12 +341,8 @@
             first.beforeGo =
                     () -> {
                         client.socket.close();
-                        site.ask(
-                                Site.request(
-                                        "GET",
-                                        "/healthz",
-                                        "",
-                                        "")); // whose way is longer: the end was read before
+                        // whose way is longer: the end was read before
+                        site.ask(Site.request("GET", "/healthz", "", ""));
                     };
             client.request(WRITE, 0, 512, new byte[512]);
             Site.await(
--- a/src/test/java/cypressglade/net/NodePoolTest.java
+++ b/src/test/java/cypressglade/net/NodePoolTest.java
@@ -154,25 +154,22 @@
         try (node;
                 Loop loop = new Loop()) {
             NodePool pool = pool(loop);
-            assertThat(
-                            exchange(
-                                            pool,
-                                            1,
-                                            LONG,
-                                            ready -> {
-                                                if (clientLeaves) {
-                                                    wanted = false;
-                                                } else {
-                                                    tell(
-                                                            State.READY,
-                                                            new InetSocketAddress(
-                                                                    node.address().getAddress(),
-                                                                    1));
-                                                }
-                                                ready.run();
-                                            })
-                                    .status())
-                    .isEqualTo(status);
+            InetSocketAddress elsewhere = new InetSocketAddress(node.address().getAddress(), 1);
+            Status ended =
+                    exchange(
+                                    pool,
+                                    1,
+                                    LONG,
+                                    ready -> {
+                                        if (clientLeaves) {
+                                            wanted = false;
+                                        } else {
+                                            tell(State.READY, elsewhere);
+                                        }
+                                        ready.run();
+                                    })
+                            .status();
+            assertThat(ended).isEqualTo(status);
             assertThat(nodeSawTheEnd.await(5, TimeUnit.SECONDS)).isTrue();
             assertThat(bytes).hasValue(0);
         }
--- a/src/test/java/cypressglade/peer/LearningMeasure.java
+++ b/src/test/java/cypressglade/peer/LearningMeasure.java
@@ -125,44 +125,33 @@
             pacer.schedule(
                     () ->
                             clients.execute(
-                                    () -> {
-                                        long asked = System.nanoTime();
-                                        try {
-                                            int status =
-                                                    site.ask(
-                                                                    Site.request(
-                                                                            "GET",
-                                                                            "/job-read/"
-                                                                                    + volume
-                                                                                    + "/"
-                                                                                    + String.format(
-                                                                                            "%016x",
-                                                                                            number),
-                                                                            Site.headers(
-                                                                                    900,
-                                                                                    "standard",
-                                                                                    "units=2,shard="
-                                                                                            + shards[
-                                                                                                    number
-                                                                                                            % shards.length]
-                                                                                            + ",hosts=1"),
-                                                                            ""))
-                                                            .status();
-                                            if (status == 200
-                                                    && System.nanoTime() - asked <= AIM_MS * 1e6) {
-                                                within.increment();
-                                            }
-                                        } catch (java.io.IOException failed) {
-                                            // a request without an answer is one that was not
-                                            // served
-                                        }
-                                    }),
+                                    () ->
+                                            ask(
+                                                    site,
+                                                    volume,
+                                                    number,
+                                                    shards[number % shards.length],
+                                                    within)),
                     (long) (i * 1e6 / rate),
                     TimeUnit.MICROSECONDS);
         }
         return within;
     }
 
+    private static void ask(Site site, String volume, int number, int shard, LongAdder within) {
+        long asked = System.nanoTime();
+        try {
+            String path = "/job-read/" + volume + "/" + String.format("%016x", number);
+            String headers = Site.headers(900, "standard", "units=2,shard=" + shard + ",hosts=1");
+            int status = site.ask(Site.request("GET", path, headers, "")).status();
+            if (status == 200 && System.nanoTime() - asked <= AIM_MS * 1e6) {
+                within.increment();
+            }
+        } catch (java.io.IOException failed) {
+            // a request without an answer is one that was not served
+        }
+    }
+
     private static void pass(double seconds) throws InterruptedException {
         Thread.sleep((long) (seconds * 1000));
     }
@@ -188,11 +177,8 @@
                         first,
                         coldStart,
                         Optional.of(talking("taught", running.serve.peerAddress().orElseThrow())));
-        Site beside =
-                site(
-                        second,
-                        coldStart,
-                        Optional.empty()); // loads those nodes as the running one does its own
+        // loads those nodes as the running one does its own
+        Site beside = site(second, coldStart, Optional.empty());
         Site untaught = site(second, coldStart, Optional.empty());
         LongAdder byBeside = load(beside, volume(4), RATE, 2, all);
         long from = System.nanoTime();
@@ -242,15 +228,8 @@
                             .mapToDouble(Arrival::units)
                             .sum();
             double age = (nowMs - startMs) / 1e3 - (nowNanos - last.nanos()) / 1e9;
-            worst =
-                    Math.max(
-                            worst,
-                            units
-                                    / (YOUNG_UNITS
-                                            * (1
-                                                    + (1 / COLD_FROM - 1)
-                                                            * Math.max(0, age)
-                                                            / RAMP_S)));
+            double allowed = YOUNG_UNITS * (1 + (1 / COLD_FROM - 1) * Math.max(0, age) / RAMP_S);
+            worst = Math.max(worst, units / allowed);
         }
         return worst;
     }
@@ -290,29 +269,9 @@
     private void transfer() throws Exception {
         Path directory = Files.createTempDirectory("learned");
         Instant now = Time.now();
+        List<Word> words = IntStream.range(0, 1000).mapToObj(i -> word(i, now)).toList();
         new SnapshotStore(directory, "learned")
-                .write(
-                        Codec.snapshot(
-                                "full",
-                                IntStream.range(0, 1000)
-                                        .mapToObj(
-                                                i ->
-                                                        new Word(
-                                                                "storage-node-" + i,
-                                                                1_760_000_000_000_000L + i,
-                                                                5000 + i,
-                                                                120.5,
-                                                                0.31,
-                                                                0.01,
-                                                                400,
-                                                                Duration.ZERO,
-                                                                now,
-                                                                new Origin(
-                                                                        "scheduler-" + i % 3,
-                                                                        i % 3)))
-                                        .toList(),
-                                now),
-                        Instant.now());
+                .write(Codec.snapshot("full", words, now), Instant.now());
         Config config = Site.config(Site.entry(0, "127.0.0.1:1", "active", 0), "127.0.0.1:1");
         try (Loop loop = new Loop();
                 Engine engine =
@@ -345,26 +304,29 @@
         }
     }
 
+    private static Word word(int i, Instant now) {
+        return new Word(
+                "storage-node-" + i,
+                1_760_000_000_000_000L + i,
+                5000 + i,
+                120.5,
+                0.31,
+                0.01,
+                400,
+                Duration.ZERO,
+                now,
+                new Origin("scheduler-" + i % 3, i % 3));
+    }
+
     private long bytes(InetSocketAddress at) throws Exception {
         try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
             DataInputStream in = new DataInputStream(socket.getInputStream());
             byte[] frame = in.readNBytes(in.readInt());
-            socket.getOutputStream()
-                    .write(
-                            Frames.frame(
-                                            Sealed.seal(
-                                                    keys,
-                                                    Codec.bytes(
-                                                            new Transfer(
-                                                                    Frames.nonce(frame),
-                                                                    5,
-                                                                    4096,
-                                                                    true,
-                                                                    List.of(),
-                                                                    List.of(),
-                                                                    Map.of()),
-                                                            Time.now())))
-                                    .array());
+            Transfer asked =
+                    new Transfer(
+                            Frames.nonce(frame), 5, 4096, true, List.of(), List.of(), Map.of());
+            byte[] sealed = Sealed.seal(keys, Codec.bytes(asked, Time.now()));
+            socket.getOutputStream().write(Frames.frame(sealed).array());
             long bytes = 0;
             for (boolean last = false; !last; ) {
                 frame = in.readNBytes(in.readInt());
@@ -387,16 +349,13 @@
             IntStream.range(0, count).forEach(net::start);
             net.pass(Duration.ofMinutes(10)); // by then all who came are known to all
             net.size =
-                    message ->
-                            Sealed.HEAD
-                                    + 28 // the heads of IPv4 and UDP
-                                    + Codec.bytes(
-                                                    new Envelope(
-                                                            1L << 60,
-                                                            1L << 61,
-                                                            1 << 20,
-                                                            Optional.of(message)))
-                                            .length;
+                    message -> {
+                        Envelope envelope =
+                                new Envelope(1L << 60, 1L << 61, 1 << 20, Optional.of(message));
+                        return Sealed.HEAD
+                                + 28 // the heads of IPv4 and UDP
+                                + Codec.bytes(envelope).length;
+                    };
             net.pass(Duration.ofMinutes(1));
             bytes.add(net.bytes / 60.0 / count);
             figures.say("member_bytes_a_second_" + count, net.bytes / 60.0 / count);
--- a/src/test/java/cypressglade/peer/PeersTest.java
+++ b/src/test/java/cypressglade/peer/PeersTest.java
@@ -169,8 +169,8 @@
         Site first = site(alone("a"));
         int sent = learn(first);
         Site.await(() -> count(first, Name.SNAPSHOTS_WRITTEN) >= 2);
-        Site again = site(alone(name)); // the first runs on, as a killed one would write nothing
-        // more either
+        // the first runs on, as a killed one would write nothing more either
+        Site again = site(alone(name));
         if (learns) {
             Site.await(() -> count(again, Name.HINTS_TAKEN) == 2);
             assertThat(ask(again, 1)).isEqualTo(503);
@@ -219,18 +219,7 @@
             in.readFully(question);
             Instant now = Time.now();
             Transfer asked = Codec.transfer(Sealed.open(keys, question), now);
-            Word word =
-                    new Word(
-                            "s-1",
-                            0,
-                            way.equals("lies") ? Double.NaN : 5000,
-                            0,
-                            0,
-                            0,
-                            9,
-                            Duration.ofSeconds(1),
-                            now.minusSeconds(1),
-                            new Origin("z", 1));
+            Word word = word("s-1", way.equals("lies") ? Double.NaN : 5000, now, "z", 1);
             byte[] first =
                     Sealed.seal(
                             keys,
@@ -248,41 +237,29 @@
             if (way.equals("goes on")) {
                 goOn.await();
                 List<Word> later =
-                        Stream.of("s-0", "s-1")
-                                .map(
-                                        id ->
-                                                new Word(
-                                                        id,
-                                                        0,
-                                                        5000,
-                                                        0,
-                                                        0,
-                                                        0,
-                                                        9,
-                                                        Duration.ofSeconds(1),
-                                                        now.minusSeconds(1),
-                                                        new Origin("y", 2)))
-                                .toList();
-                frame(
-                        out,
-                        Sealed.seal(
-                                keys,
-                                Codec.bytes(
-                                        new Transfer(
-                                                asked.ask(),
-                                                0,
-                                                1,
-                                                true,
-                                                List.of(),
-                                                later,
-                                                Map.of()),
-                                        now)));
+                        Stream.of("s-0", "s-1").map(id -> word(id, 5000, now, "y", 2)).toList();
+                Transfer last = new Transfer(asked.ask(), 0, 1, true, List.of(), later, Map.of());
+                frame(out, Sealed.seal(keys, Codec.bytes(last, now)));
             }
             if (!way.equals("breaks off")) {
                 in.read();
             }
         }
 
+        private static Word word(String id, double pace, Instant now, String by, long life) {
+            return new Word(
+                    id,
+                    0,
+                    pace,
+                    0,
+                    0,
+                    0,
+                    9,
+                    Duration.ofSeconds(1),
+                    now.minusSeconds(1),
+                    new Origin(by, life));
+        }
+
         private void frame(DataOutputStream out, byte[] frame) throws IOException {
             out.writeInt(frame.length);
             out.write(frame);
@@ -460,29 +437,19 @@
     @Test
     void aVerdictOfAStrangersKeyOrNameIsTurnedAway() throws Exception {
         PeersConfig.Talk plain = talking("a", LONG).talk().orElseThrow();
-        Site site =
-                site(
-                        new PeersConfig(
-                                "a",
-                                Optional.of(
-                                        new PeersConfig.Talk(
-                                                plain.listen(),
-                                                plain.advertised(),
-                                                plain.seeds(),
-                                                keys,
-                                                plain.refresh(),
-                                                true,
-                                                plain.timing(),
-                                                true,
-                                                Optional.of(
-                                                        new Terms(
-                                                                Set.of("a", "h"),
-                                                                0.25,
-                                                                2,
-                                                                Duration.ofSeconds(1))))),
-                                Optional.empty(),
-                                100,
-                                LONG));
+        Terms terms = new Terms(Set.of("a", "h"), 0.25, 2, Duration.ofSeconds(1));
+        PeersConfig.Talk sharing =
+                new PeersConfig.Talk(
+                        plain.listen(),
+                        plain.advertised(),
+                        plain.seeds(),
+                        keys,
+                        plain.refresh(),
+                        true,
+                        plain.timing(),
+                        true,
+                        Optional.of(terms));
+        Site site = site(new PeersConfig("a", Optional.of(sharing), Optional.empty(), 100, LONG));
         Hand hand = new Hand(site);
         hand.send(hand.ping(keys, 0, 1));
         long life = Codec.envelope(Sealed.open(keys, hand.next())).from();
@@ -499,25 +466,9 @@
     }
 
     private static byte[] verdict(KeyRing with, long life, long number, String by, String node) {
-        return Sealed.seal(
-                with,
-                Codec.bytes(
-                        new Envelope(
-                                77,
-                                life,
-                                number,
-                                Optional.empty(),
-                                Optional.of(
-                                        new Notice(
-                                                0,
-                                                Map.of(),
-                                                List.of(),
-                                                List.of(
-                                                        new Verdict(
-                                                                "node " + node,
-                                                                "exclude",
-                                                                Instant.now(),
-                                                                by,
-                                                                1)))))));
+        Verdict verdict = new Verdict("node " + node, "exclude", Instant.now(), by, 1);
+        Notice notice = new Notice(0, Map.of(), List.of(), List.of(verdict));
+        Envelope envelope = new Envelope(77, life, number, Optional.empty(), Optional.of(notice));
+        return Sealed.seal(with, Codec.bytes(envelope));
     }
 }
--- a/src/test/java/cypressglade/process/DiskFaultIT.java
+++ b/src/test/java/cypressglade/process/DiskFaultIT.java
@@ -142,13 +142,8 @@
                 RealScheduler next = start()) {
             Site.await(() -> old.output().stream().anyMatch(line -> line.contains("scheduler: 2")));
             assertThat(next.call("exclude s-0")).startsWith("200 ");
-            Site.await(
-                    () ->
-                            old.output().stream()
-                                    .anyMatch(
-                                            line ->
-                                                    line.contains(
-                                                            "bans by the process beside: [s-0]")));
+            String told = "bans by the process beside: [s-0]";
+            Site.await(() -> old.output().stream().anyMatch(line -> line.contains(told)));
         }
     }
 }
--- a/src/test/java/cypressglade/share/FleetLimitsMeasure.java
+++ b/src/test/java/cypressglade/share/FleetLimitsMeasure.java
@@ -1,5 +1,6 @@
 package cypressglade.share;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import cypressglade.lab.Faults;
 import cypressglade.lab.ProcessFleet;
 import cypressglade.lab.ShareLab;
@@ -113,27 +114,18 @@
     /** When each other member took a verdict. */
     private static List<Long> taken(LimitRig rig, long from, int giver, String word) {
         return rig.fleet.since(from).stream()
-                .filter(
-                        event ->
-                                event.seenBy() != giver
-                                        && event.line()
-                                                .path("fleet")
-                                                .asText()
-                                                .equals("verdict_taken")
-                                        && event.line()
-                                                .path("verdict")
-                                                .path("word")
-                                                .asText()
-                                                .equals(word)
-                                        && event.line()
-                                                .path("verdict")
-                                                .path("by")
-                                                .asText()
-                                                .equals(ProcessFleet.name(giver)))
+                .filter(event -> event.seenBy() != giver && tellsOfTaken(event.line(), giver, word))
                 .map(ProcessFleet.Event::atMs)
                 .toList();
     }
 
+    private static boolean tellsOfTaken(JsonNode line, int giver, String word) {
+        JsonNode verdict = line.path("verdict");
+        return line.path("fleet").asText().equals("verdict_taken")
+                && verdict.path("word").asText().equals(word)
+                && verdict.path("by").asText().equals(ProcessFleet.name(giver));
+    }
+
     private static void agree(LimitRig rig, int among, Integer... members) throws IOException {
         if (!rig.agree(among, members)) {
             throw new IOException("no agreement: " + rig.fleet.text());
@@ -153,20 +145,19 @@
                             int members = 1 + random.nextInt(7);
                             List<Fault> faults =
                                     IntStream.range(0, random.nextInt(MOST_FAULTS + 1))
-                                            .mapToObj(
-                                                    i ->
-                                                            new Fault(
-                                                                    Kind.values()[
-                                                                            random.nextInt(
-                                                                                    Kind.values()
-                                                                                            .length)],
-                                                                    random.nextInt(members),
-                                                                    random.nextInt(members),
-                                                                    random.nextInt(13),
-                                                                    1 + random.nextInt(8)))
+                                            .mapToObj(i -> fault(random, members))
                                             .toList();
                             return !ShareLab.play(members, faults, seed).holds();
                         })
                 .count();
     }
+
+    private static Fault fault(Random random, int members) {
+        return new Fault(
+                Kind.values()[random.nextInt(Kind.values().length)],
+                random.nextInt(members),
+                random.nextInt(members),
+                random.nextInt(13),
+                1 + random.nextInt(8));
+    }
 }
--- a/src/test/java/cypressglade/share/LimitRig.java
+++ b/src/test/java/cypressglade/share/LimitRig.java
@@ -68,6 +68,7 @@
                 Site.entry(0, warm.hostPort(), "active", 0)
                         + ","
                         + Site.entry(1, cold.hostPort(), "active", System.currentTimeMillis());
+        String limits = "\"neverOver\":" + RATE + ",\"limitBurst\":" + BURST;
         fleet =
                 new ProcessFleet(
                         folder,
@@ -77,12 +78,7 @@
                         text ->
                                 text.replace(Site.entry(0, "127.0.0.1:10801", "active", 0), entries)
                                         .replace("\"balancers\":1", "\"balancers\":" + MEMBERS)
-                                        .replace(
-                                                "\"neverOver\":1,\"limitBurst\":8",
-                                                "\"neverOver\":"
-                                                        + RATE
-                                                        + ",\"limitBurst\":"
-                                                        + BURST),
+                                        .replace("\"neverOver\":1,\"limitBurst\":8", limits),
                         Optional.of(TERMS));
         fleet.act("0s delay * * 1ms..20ms");
         fleet.startAll(MEMBERS);
@@ -143,32 +139,19 @@
                 socket.setSoTimeout(2 * EXPIRES_MS);
                 DataInputStream in = new DataInputStream(socket.getInputStream());
                 while (!over.get()) {
-                    socket.getOutputStream()
-                            .write(
-                                    Site.request(
-                                                    "GET",
-                                                    "/job-read/"
-                                                            + volume
-                                                            + "/"
-                                                            + String.format("%016x", ++key),
-                                                    Site.headers(
-                                                            EXPIRES_MS,
-                                                            tier,
-                                                            "units=1,shard="
-                                                                    + shard
-                                                                    + ",hosts="
-                                                                    + MEMBERS),
-                                                    "")
-                                            .getBytes(StandardCharsets.ISO_8859_1));
+                    String path = "/job-read/" + volume + "/" + String.format("%016x", ++key);
+                    String cost = "units=1,shard=" + shard + ",hosts=" + MEMBERS;
+                    String headers = Site.headers(EXPIRES_MS, tier, cost);
+                    String request = Site.request("GET", path, headers, "");
+                    socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
                     if (HttpPeer.Message.read(in).status() != 200) {
                         refused.incrementAndGet();
                         fleet.pass(Duration.ofMillis(5));
                     }
                 }
             } catch (IOException gone) {
-                fleet.pass(
-                        Duration.ofMillis(
-                                50)); // its member was ended; the next one listens elsewhere
+                // its member was ended; the next one listens elsewhere
+                fleet.pass(Duration.ofMillis(50));
             }
         }
     }
--- a/src/test/java/cypressglade/storm/StormMeasure.java
+++ b/src/test/java/cypressglade/storm/StormMeasure.java
@@ -37,8 +37,8 @@
     private static final int CLIENTS = 128;
     private static final int MOST_TRIES = 12;
     private static final int EXPIRES_MS = 700;
-    private static final Duration THINK =
-            Duration.ofMillis(60); // twice the normal load: half of all nodes' speed
+    // Twice the normal load: half of all nodes' speed.
+    private static final Duration THINK = Duration.ofMillis(60);
     private static final int OUT_FROM_S = 3;
     private static final int OUT_TO_S = 8;
     private static final int SPAN_S = 16;
@@ -205,22 +205,14 @@
                     Message answer = null;
                     try {
                         socket = socket == null ? site.connect() : socket;
-                        socket.getOutputStream()
-                                .write(
-                                        Site.request(
-                                                        "PUT",
-                                                        path,
-                                                        Site.headers(
-                                                                        EXPIRES_MS,
-                                                                        "standard",
-                                                                        "units=1,shard="
-                                                                                + shard
-                                                                                + ",hosts=1")
-                                                                + (tries > 0
-                                                                        ? "X-Second-Try: 1\r\n"
-                                                                        : ""),
-                                                        "data")
-                                                .getBytes(StandardCharsets.US_ASCII));
+                        String headers =
+                                Site.headers(
+                                        EXPIRES_MS,
+                                        "standard",
+                                        "units=1,shard=" + shard + ",hosts=1");
+                        String second = tries > 0 ? "X-Second-Try: 1\r\n" : "";
+                        String request = Site.request("PUT", path, headers + second, "data");
+                        socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
                         answer = Message.read(new DataInputStream(socket.getInputStream()));
                     } catch (IOException closed) {
                         closeQuietly(socket);
--- a/src/test/java/cypressglade/storm/StormsTest.java
+++ b/src/test/java/cypressglade/storm/StormsTest.java
@@ -249,8 +249,8 @@
                         byVolume.merge(one.volume(), 1, Integer::sum);
                     });
         }
-        double sum =
-                0; // of what was promised from any slot on, which the slots from there have to take
+        // of what was promised from any slot on, which the slots from there have to take
+        double sum = 0;
         long first = promised.isEmpty() ? 0 : ((TreeMap<Long, Double>) promised).firstKey();
         for (Map.Entry<Long, Double> slot : promised.entrySet()) {
             sum += slot.getValue();
