--- a/src/main/java/cypressglade/cli/Doorway.java
+++ b/src/main/java/cypressglade/cli/Doorway.java
@@ -1,8 +1,8 @@
 package cypressglade.cli;
 
 import cypressglade.control.DoorServer;
+import cypressglade.core.MonotonicClock;
 import cypressglade.core.Retry;
-import cypressglade.core.Time;
 import cypressglade.operate.Door;
 import cypressglade.operate.HandDrains;
 import cypressglade.operate.HandDrains.Kind;
@@ -94,7 +94,9 @@
                         BIND_LIMIT,
                         "operators' door",
                         IOException.class::isInstance,
-                        () -> new DoorServer(address, new Door(this), this::look, Time::now));
+                        () ->
+                                new DoorServer(
+                                        address, new Door(this), this::look, MonotonicClock::now));
     }
 
     /** What is due now and then, on the door's thread. */
--- a/src/main/java/cypressglade/cli/DoubtFile.java
+++ b/src/main/java/cypressglade/cli/DoubtFile.java
@@ -50,11 +50,11 @@
                         .map(body -> Arrays.copyOfRange(body, 1, body.length));
         try {
             if (!first) {
-                engine.doubts(former);
+                engine.restoreUncertainWrites(former);
             }
         } catch (IllegalArgumentException foreign) {
             LOG.log(Level.WARNING, "writes in doubt cannot be read: {0}", foreign.getMessage());
-            engine.doubts(Optional.empty());
+            engine.restoreUncertainWrites(Optional.empty());
         }
         write(RUNS);
     }
@@ -62,7 +62,7 @@
     /** Writes what is in doubt by now; waits a moment for the engine. */
     void close(Engine engine) {
         CompletableFuture<byte[]> seen = new CompletableFuture<>();
-        engine.doubts(seen::complete);
+        engine.readUncertainWrites(seen::complete);
         try {
             byte[] held = seen.get(HAND_OVER.toMillis(), TimeUnit.MILLISECONDS);
             byte[] body = new byte[held.length + 1];
--- a/src/main/java/cypressglade/cli/InForce.java
+++ b/src/main/java/cypressglade/cli/InForce.java
@@ -74,6 +74,6 @@
     }
 
     private static String millis(long micros) {
-        return Micros.span(micros).toMillis() + " ms";
+        return Micros.toDuration(micros).toMillis() + " ms";
     }
 }
--- a/src/main/java/cypressglade/cli/Rehearsal.java
+++ b/src/main/java/cypressglade/cli/Rehearsal.java
@@ -116,7 +116,7 @@
                             config.budget().answerBytes(),
                             config.settings().loadNames());
             engine.start(node -> nodes);
-            engine.told(
+            engine.updateNodes(
                     new NodeList(
                             1,
                             true,
@@ -208,7 +208,7 @@
                             + "\r\nTier: "
                             + plans.get(number % plans.size()).name()
                             + "\r\nX-Expires-In-Ms: "
-                            + Micros.span(type.deadlineUs()).toMillis()
+                            + Micros.toDuration(type.deadlineUs()).toMillis()
                             + "\r\nIO-Info: units=1,shard=0,hosts=1\r\nContent-Length: "
                             + body.length()
                             + "\r\n\r\n"
--- a/src/main/java/cypressglade/cli/Serve.java
+++ b/src/main/java/cypressglade/cli/Serve.java
@@ -6,11 +6,11 @@
 import cypressglade.core.Counters;
 import cypressglade.core.Engine;
 import cypressglade.core.Micros;
+import cypressglade.core.MonotonicClock;
 import cypressglade.core.NodeDirectory;
 import cypressglade.core.NodeList;
 import cypressglade.core.RequestPool;
 import cypressglade.core.Scheduler.RequestClass;
-import cypressglade.core.Time;
 import cypressglade.http.ClientListener;
 import cypressglade.http.DiscoveryWatch;
 import cypressglade.http.NodeClient;
@@ -116,10 +116,10 @@
         nbdNodes = files.nbd().map(front -> new NbdNodeLink(connections, front));
         engine.start(
                 node ->
-                        nbdNodes.isPresent() && nbdNodes.get().speaksTo(directory.ready(node))
+                        nbdNodes.isPresent() && nbdNodes.get().speaksTo(directory.findReady(node))
                                 ? nbdNodes.get()
                                 : nodes);
-        HandDrains drains = new HandDrains(engine::told, this::decided);
+        HandDrains drains = new HandDrains(engine::updateNodes, this::decided);
         peers =
                 files.peers()
                         .map(
@@ -177,7 +177,7 @@
                                         }));
         boolean byHand =
                 control.isPresent() || door.isPresent() || peers.filter(Peers::shares).isPresent();
-        Consumer<NodeList> lists = byHand ? drains::told : engine::told;
+        Consumer<NodeList> lists = byHand ? drains::told : engine::updateNodes;
         lists.accept(config.known());
         discovery =
                 new DiscoveryWatch(
@@ -199,7 +199,8 @@
                         nodes,
                         () -> ready && !evacuated,
                         config.budget(),
-                        files.storms().map(terms -> new Waves(terms.connects(), Time.now())));
+                        files.storms()
+                                .map(terms -> new Waves(terms.connects(), MonotonicClock.now())));
         blockClients =
                 files.nbd().isEmpty()
                         ? Optional.empty()
@@ -221,7 +222,7 @@
      */
     private void beside(int count) {
         processes = count;
-        engine.beside(count);
+        engine.setProcessCount(count);
         if (ready) {
             deal(config);
         }
@@ -231,7 +232,7 @@
     private void deal(Config shared) {
         Budget budget = shared.budget().among(processes);
         clients.use(shared.settings(), budget);
-        pool.use(budget.requests(), budget.threads());
+        pool.resize(budget.requests(), budget.threads());
         nodes.use(budget.answerBytes(), shared.settings().loadNames());
         connections.use(shared.connectTimeout(), shared.idleLimit(), budget.nodeConnections());
     }
@@ -331,7 +332,7 @@
      * on.
      */
     public void use(Config next, OperatorFiles files) {
-        engine.use(next.settings());
+        engine.applySettings(next.settings());
         deal(next);
         discovery.use(next.discovery(), next.nodeLists());
         if (files.nbd().isPresent() && blockClients.isPresent()) {
@@ -389,8 +390,8 @@
      * process takes clients on the same port, new connections are left to that one at once.
      */
     public void drain() throws InterruptedException {
-        Instant told = Time.now();
-        LOG.log(System.Logger.Level.INFO, "told to stop, {0} requests open", pool.open());
+        Instant told = MonotonicClock.now();
+        LOG.log(System.Logger.Level.INFO, "told to stop, {0} requests open", pool.openCount());
         if (stopOpening()) {
             answerAll(told);
         }
@@ -404,7 +405,7 @@
         Duration longest =
                 config.settings().classes().stream()
                         .map(RequestClass::deadlineUs)
-                        .map(Micros::span)
+                        .map(Micros::toDuration)
                         .max(Duration::compareTo)
                         .orElse(Duration.ZERO);
         Instant served =
@@ -417,21 +418,22 @@
         clients.answerBy(served);
         if (blockClients.isPresent()) {
             Instant refused = told.plus(SERVE_ON);
-            Thread.sleep(Time.until(refused.isBefore(served) ? refused : served).toMillis());
+            Thread.sleep(
+                    MonotonicClock.until(refused.isBefore(served) ? refused : served).toMillis());
             blockClients.get().refuseCommands();
         }
-        Thread.sleep(Time.until(served).toMillis());
+        Thread.sleep(MonotonicClock.until(served).toMillis());
         LOG.log(
                 System.Logger.Level.INFO,
                 "stopping: {0} requests open, {1} clients connected",
-                pool.open(),
+                pool.openCount(),
                 clients.connected());
         clients.end();
         pool.stopAll(); // those from before the signal may have longer to go than the program has
-        while (pool.open() > 0 && Time.now().isBefore(served.plus(LINGER))) {
+        while (pool.openCount() > 0 && MonotonicClock.now().isBefore(served.plus(LINGER))) {
             Thread.sleep(LOOK.toMillis());
         }
-        while (clients.connected() > 0 && Time.now().isBefore(served.plus(LINGER))) {
+        while (clients.connected() > 0 && MonotonicClock.now().isBefore(served.plus(LINGER))) {
             Thread.sleep(LOOK.toMillis());
         }
         Thread.sleep(SETTLE.toMillis());
--- a/src/main/java/cypressglade/config/Config.java
+++ b/src/main/java/cypressglade/config/Config.java
@@ -189,6 +189,6 @@
     private static Duration span(Values values, String path, Duration otherwise)
             throws ConfigException {
         float micros = values.number(path, 0);
-        return micros > 0 ? Micros.span((long) micros) : otherwise;
+        return micros > 0 ? Micros.toDuration((long) micros) : otherwise;
     }
 }
--- a/src/main/java/cypressglade/control/Control.java
+++ b/src/main/java/cypressglade/control/Control.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import cypressglade.core.Counters;
 import cypressglade.core.Engine;
-import cypressglade.core.NodeFact;
+import cypressglade.core.MonotonicClock;
+import cypressglade.core.NodeStatus;
 import cypressglade.core.Scheduler.Load;
 import cypressglade.core.Scheduler.Reason;
-import cypressglade.core.Time;
 import cypressglade.member.Member;
 import cypressglade.operate.Events;
 import cypressglade.operate.Events.Event;
@@ -78,7 +78,7 @@
         pictures = new Pictures(this::gather);
         store = new SnapshotStore(config.directory(), "drains");
         recall();
-        server = new ControlServer(config.socket(), this, Time::now);
+        server = new ControlServer(config.socket(), this, MonotonicClock::now);
         server.start();
         event("control.open", Map.of("socket", config.socket().toString()));
     }
@@ -102,18 +102,18 @@
     }
 
     private void gather(Consumer<Picture> seen) {
-        engine.look((nodes, load) -> server.post(() -> seen.accept(picture(nodes, load))));
+        engine.readStatus((nodes, load) -> server.post(() -> seen.accept(picture(nodes, load))));
     }
 
-    private Picture picture(List<NodeFact> nodes, Load load) {
-        return new Picture(Time.now(), nodes, classes.get(), load, drains.list());
+    private Picture picture(List<NodeStatus> nodes, Load load) {
+        return new Picture(MonotonicClock.now(), nodes, classes.get(), load, drains.list());
     }
 
     /** Tells when drains are done; asks the engine only while there are any that are not. */
     @Override
     public void tick() {
         if (drains.list().stream().anyMatch(drain -> !drain.done())) {
-            engine.views(facts -> server.post(() -> drains.seen(facts).forEach(this::done)));
+            engine.readNodes(facts -> server.post(() -> drains.seen(facts).forEach(this::done)));
         }
     }
 
@@ -132,7 +132,7 @@
         switch (call.what()) {
             case "view" ->
                     pictures.look(
-                            Time.now(),
+                            MonotonicClock.now(),
                             picture ->
                                     answer.accept(
                                             Call.answer(call.id(), out -> write(out, picture))));
@@ -152,7 +152,7 @@
     @Override
     public void frame(Consumer<byte[]> line) {
         pictures.look(
-                Time.now(),
+                MonotonicClock.now(),
                 picture -> line.accept(Call.answer("watch", out -> write(out, picture))));
     }
 
@@ -237,7 +237,7 @@
 
     private void write(JsonGenerator out, Picture picture) throws IOException {
         out.writeArrayFieldStart("nodes");
-        for (NodeFact fact : picture.nodes()) {
+        for (NodeStatus fact : picture.nodes()) {
             write(out, fact, picture);
         }
         out.writeEndArray();
@@ -280,13 +280,13 @@
         write(out, all.subList(Math.max(0, all.size() - SHOWN_EVENTS), all.size()));
     }
 
-    private static void write(JsonGenerator out, NodeFact fact, Picture picture)
+    private static void write(JsonGenerator out, NodeStatus fact, Picture picture)
             throws IOException {
         out.writeStartObject();
-        out.writeStringField("id", fact.known().id());
-        out.writeNumberField("shard", fact.known().cell());
+        out.writeStringField("id", fact.node().id());
+        out.writeNumberField("shard", fact.node().shard());
         boolean byHand =
-                picture.drains().stream().anyMatch(drain -> drain.node().equals(fact.known().id()));
+                picture.drains().stream().anyMatch(drain -> drain.node().equals(fact.node().id()));
         out.writeStringField(
                 "state",
                 byHand
--- a/src/main/java/cypressglade/core/Counters.java
+++ b/src/main/java/cypressglade/core/Counters.java
@@ -77,7 +77,7 @@
     }
 
     /** Counts how an attempt ended. */
-    public void ended(Scheduler.Status status) {
+    public void countAttemptEnd(Scheduler.Status status) {
         add(Name.valueOf("ENDED_" + status.name()));
     }
 
--- a/src/main/java/cypressglade/core/Asked.java
+++ b/src/main/java/cypressglade/core/DemandTracker.java
@@ -8,9 +8,10 @@
 
 /**
  * Units that this instance was asked for, of what the schedulers of a fleet share: by volume under
- * a limit, and by shard. Kept from the first {@link #take} on, and by the engine's thread alone.
+ * a limit, and by shard. Kept from the first {@link #takeDemand} on, and by the engine's thread
+ * alone.
  */
-public final class Asked {
+public final class DemandTracker {
     /**
      * Volumes and shards beyond that are not reckoned: their requests still go by the part of the
      * rest.
@@ -21,15 +22,15 @@
     private final Map<Integer, Double> shards = new HashMap<>();
     private boolean kept;
 
-    Asked() {}
+    DemandTracker() {}
 
     /**
      * Demand since the last look.
      *
-     * @param volumes units by volume
-     * @param cold units by cold node
+     * @param unitsByVolume units by volume
+     * @param unitsByColdNode units by cold node
      */
-    public record Demand(Map<Long, Double> volumes, Map<ColdNode, Double> cold) {}
+    public record Demand(Map<Long, Double> unitsByVolume, Map<ColdNode, Double> unitsByColdNode) {}
 
     /** A cold node: its id, and its start in microseconds of the epoch. */
     public record ColdNode(String id, long startedUs) {}
@@ -53,26 +54,27 @@
      * What was asked since the last call; cold are those nodes to which the module sends by their
      * warmth.
      */
-    Demand take(List<NodeFact> facts) {
+    Demand takeDemand(List<NodeStatus> facts) {
         kept = true;
         Map<ColdNode, Double> cold = new HashMap<>();
         facts.stream()
-                .filter(fact -> cold(fact.view()))
+                .filter(fact -> isCold(fact.view()))
                 .forEach(
                         fact ->
                                 cold.put(
-                                        node(fact), shards.getOrDefault(fact.view().shard(), 0.0)));
+                                        coldNode(fact),
+                                        shards.getOrDefault(fact.view().shard(), 0.0)));
         Demand demand = new Demand(Map.copyOf(volumes), cold);
         volumes.clear();
         shards.clear();
         return demand;
     }
 
-    static boolean cold(NodeView view) {
+    static boolean isCold(NodeView view) {
         return view.ready() && view.coldRoom() < Double.MAX_VALUE;
     }
 
-    static ColdNode node(NodeFact fact) {
-        return new ColdNode(fact.known().id(), fact.view().startedUs());
+    static ColdNode coldNode(NodeStatus fact) {
+        return new ColdNode(fact.node().id(), fact.view().startedUs());
     }
 }
--- a/src/main/java/cypressglade/core/Engine.java
+++ b/src/main/java/cypressglade/core/Engine.java
@@ -1,7 +1,5 @@
 package cypressglade.core;
 
-import cypressglade.core.NodeLink.Ending;
-import cypressglade.core.NodeLink.Told;
 import cypressglade.core.Scheduler.Actions;
 import cypressglade.core.Scheduler.Hint;
 import cypressglade.core.Scheduler.Load;
@@ -33,20 +31,20 @@
     private final Mailbox<Runnable> events = new Mailbox<>();
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(Comparator.comparing(Timer::due).thenComparing(Timer::number));
-    private final Map<Long, RequestLife<?>> open = new HashMap<>();
+    private final Map<Long, RequestTask<?>> open = new HashMap<>();
     private final NodeDirectory directory;
     private final Counters counters;
     private final Scheduler scheduler;
     private final Duration coldSpan;
     private final Optional<Terms> storms;
-    private final Optional<Gate> gate;
+    private final Optional<RetryStormFilter> gate;
     private Instant gateLook = Instant.MAX;
     private boolean saving;
     private Settings settings;
     private Share share = new Share(0, 0);
-    private final Asked asked = new Asked();
+    private final DemandTracker asked = new DemandTracker();
     private final RequestLog log = new RequestLog();
-    private Optional<Granted> granted = Optional.empty();
+    private Optional<Engine.LimitAllocation> granted = Optional.empty();
 
     /**
      * Processes that serve as this instance at once: two while an upgrade hands over, one
@@ -55,7 +53,8 @@
     private int beside = 1;
 
     private final Thread thread = new Thread(this::run, "engine");
-    private Consumer<Probe> prober = probe -> probe.ended(Ending.of(Status.CONNECT_FAILED));
+    private Consumer<Probe> prober =
+            probe -> probe.ended(NodeLink.AttemptResult.withoutResponse(Status.CONNECT_FAILED));
     private long lastId;
     private long lastTimer;
     private volatile boolean closing;
@@ -69,31 +68,35 @@
     }
 
     /** This instance's parts of what a fleet shares, until a time; of cold nodes by their run. */
-    public record Granted(
-            Map<Long, Double> volumes,
-            Map<Asked.ColdNode, Double> cold,
-            double rest,
-            double coldRest,
-            double least,
-            Instant until) {}
+    public record LimitAllocation(
+            Map<Long, Double> shareByVolume,
+            Map<DemandTracker.ColdNode, Double> shareByColdNode,
+            double otherVolumesShare,
+            double otherColdNodesShare,
+            double minShare,
+            Instant validUntil) {}
 
     private record Timer(Instant due, long number, long token) {}
 
     /** A probe that the module ordered; its end is told once. */
     private final class Probe {
         private final long node;
-        private final Instant sent = Time.now();
+        private final Instant sent = MonotonicClock.now();
 
         private Probe(long node) {
             this.node = node;
         }
 
-        private void ended(Ending ending) {
-            long latency = Micros.of(Duration.between(sent, Time.now()));
+        private void ended(NodeLink.AttemptResult ending) {
+            long latency = Micros.of(Duration.between(sent, MonotonicClock.now()));
             post(
                     () ->
                             scheduler.probed(
-                                    now(), node, ending.status(), latency, ending.told().load()));
+                                    now(),
+                                    node,
+                                    ending.status(),
+                                    latency,
+                                    ending.metadata().load()));
         }
     }
 
@@ -107,22 +110,26 @@
         this.directory = directory;
         this.counters = counters;
         this.settings = settings;
-        this.coldSpan = Micros.span(settings.limits().fallUs());
+        this.coldSpan = Micros.toDuration(settings.limits().fallUs());
         this.storms = storms;
-        this.gate = storms.map(terms -> new Gate(terms, settings, coldSpan, counters, Time.now()));
+        this.gate =
+                storms.map(
+                        terms ->
+                                new RetryStormFilter(
+                                        terms, settings, coldSpan, counters, MonotonicClock.now()));
         this.scheduler = new Brain(now(), settings, new Orders());
         thread.setDaemon(true);
     }
 
     /** Why requests ended as they did, for all who answer them. */
-    public RequestLog log() {
+    public RequestLog requestLog() {
         return log;
     }
 
     /** Starts the thread; {@code links} names the link by which a node is probed. */
     public void start(LongFunction<NodeLink<?>> links) {
         prober = probe -> links.apply(probe.node).probe(probe.node, probe::ended);
-        gate.ifPresent(any -> gateLook = Time.now());
+        gate.ifPresent(any -> gateLook = MonotonicClock.now());
         thread.start();
     }
 
@@ -132,28 +139,31 @@
      *
      * @throws IllegalArgumentException where these are no such bytes
      */
-    public void doubts(Optional<byte[]> former) {
+    public void restoreUncertainWrites(Optional<byte[]> former) {
         gate.ifPresent(
-                kept -> kept.doubts(former, Time.now())); // before the thread starts, which owns it
+                kept ->
+                        kept.restoreUncertainWrites(
+                                former,
+                                MonotonicClock.now())); // before the thread starts, which owns it
     }
 
     /** Writes in doubt, for the next life; handed over on the engine's thread. */
-    public void doubts(Consumer<byte[]> seen) {
-        gate.ifPresent(kept -> post(() -> seen.accept(kept.doubts(Time.now()))));
+    public void readUncertainWrites(Consumer<byte[]> seen) {
+        gate.ifPresent(kept -> post(() -> seen.accept(kept.uncertainWrites(MonotonicClock.now()))));
     }
 
     /** Takes new settings; what is open goes on under what it was taken with. */
-    public void use(Settings next) {
+    public void applySettings(Settings next) {
         post(
                 () -> {
                     settings = next;
-                    gate.ifPresent(kept -> kept.use(next));
+                    gate.ifPresent(kept -> kept.applySettings(next));
                     scheduler.use(inForce());
                 });
     }
 
     /** This instance is one of so many, which shares out what all together may send. */
-    public void share(int rank, int heads) {
+    public void setInstances(int rank, int heads) {
         post(
                 () -> {
                     share = new Share(rank, heads);
@@ -166,7 +176,7 @@
      * its part of the instance's limits, on volumes and on cold nodes, so that together they keep
      * them.
      */
-    public void beside(int processes) {
+    public void setProcessCount(int processes) {
         post(
                 () -> {
                     if (beside != Math.max(1, processes)) {
@@ -178,12 +188,12 @@
     }
 
     /** What was asked of this instance since the last call, handed over on the engine's thread. */
-    public void demand(Consumer<Asked.Demand> seen) {
-        post(() -> seen.accept(asked.take(directory.facts(scheduler.views(now())))));
+    public void takeDemand(Consumer<DemandTracker.Demand> seen) {
+        post(() -> seen.accept(asked.takeDemand(directory.statuses(scheduler.views(now())))));
     }
 
     /** Takes the parts that hold from now on, in place of even ones. */
-    public void grant(Granted next) {
+    public void applyAllocation(Engine.LimitAllocation next) {
         post(
                 () -> {
                     granted = Optional.of(next);
@@ -195,34 +205,38 @@
         granted.ifPresent(this::divide);
     }
 
-    private void divide(Granted held) {
+    private void divide(Engine.LimitAllocation held) {
         Map<Long, Double> cold = new HashMap<>();
-        directory.facts(scheduler.views(now())).stream()
-                .filter(fact -> Asked.cold(fact.view()))
+        directory.statuses(scheduler.views(now())).stream()
+                .filter(fact -> DemandTracker.isCold(fact.view()))
                 .forEach(fact -> cold.put(fact.view().node(), coldPart(held, fact)));
         scheduler.parts(
                 now(),
                 new Scheduler.Parts(
-                                held.volumes(),
+                                held.shareByVolume(),
                                 cold,
-                                held.rest(),
-                                held.least(),
-                                Micros.of(held.until()))
+                                held.otherVolumesShare(),
+                                held.minShare(),
+                                Micros.of(held.validUntil()))
                         .among(beside));
     }
 
-    private static double coldPart(Granted held, NodeFact fact) {
-        return held.cold().getOrDefault(Asked.node(fact), held.coldRest());
+    private static double coldPart(Engine.LimitAllocation held, NodeStatus fact) {
+        return held.shareByColdNode()
+                .getOrDefault(DemandTracker.coldNode(fact), held.otherColdNodesShare());
     }
 
     /** How long what was sent to a cold node counts, by the settings at the start. */
-    public Duration coldSpan() {
+    public Duration coldWindow() {
         return coldSpan;
     }
 
     private Settings inForce() {
         Settings shared =
-                saving ? Gate.budget(share.of(settings), storms.orElseThrow()) : share.of(settings);
+                saving
+                        ? RetryStormFilter.withAttemptBudget(
+                                share.of(settings), storms.orElseThrow())
+                        : share.of(settings);
         return beside == 1 ? shared : shared.among(shared.rank(), shared.heads() * beside);
     }
 
@@ -230,13 +244,17 @@
      * What is known of the nodes; handed over on the engine's thread, at a cost of one pass over
      * them.
      */
-    public void views(Consumer<List<NodeFact>> seen) {
-        post(() -> seen.accept(directory.facts(scheduler.views(now()))));
+    public void readNodes(Consumer<List<NodeStatus>> seen) {
+        post(() -> seen.accept(directory.statuses(scheduler.views(now()))));
     }
 
-    /** What is known of the nodes and what is held, of one moment; as {@link #views}. */
-    public void look(BiConsumer<List<NodeFact>, Load> seen) {
-        post(() -> seen.accept(directory.all(scheduler.views(now())), scheduler.load(now())));
+    /** What is known of the nodes and what is held, of one moment; as {@link #readNodes}. */
+    public void readStatus(BiConsumer<List<NodeStatus>, Load> seen) {
+        post(
+                () ->
+                        seen.accept(
+                                directory.allStatuses(scheduler.views(now())),
+                                scheduler.load(now())));
     }
 
     /**
@@ -244,15 +262,19 @@
      * kept.
      */
     public void hint(String id, LongFunction<Hint> hint) {
-        post(() -> directory.number(id).ifPresent(node -> scheduler.hint(now(), hint.apply(node))));
+        post(
+                () ->
+                        directory
+                                .numberOf(id)
+                                .ifPresent(node -> scheduler.hint(now(), hint.apply(node))));
     }
 
     /** Takes in what discovery told; it counts for the links at once. */
-    public void told(NodeList list) {
+    public void updateNodes(NodeList list) {
         var entries = directory.update(list);
         post(
                 () -> {
-                    scheduler.nodes(now(), NodeDirectory.kind(list), entries);
+                    scheduler.nodes(now(), NodeDirectory.listKind(list), entries);
                     grant(); // a node that has come back is another cold one
                     counters.add(
                             Counters.Name
@@ -260,16 +282,17 @@
                 });
     }
 
-    void taken(RequestLife<?> life, IoRequest request) {
+    void submit(RequestTask<?> life, IoRequest request) {
         post(
                 () -> {
-                    if (gate.isPresent() && gate.get().stops(life, request, Time.now())) {
+                    if (gate.isPresent()
+                            && gate.get().tryReject(life, request, MonotonicClock.now())) {
                         save();
                         return;
                     }
                     life.id = ++lastId;
                     open.put(life.id, life);
-                    Scheduler.Request taken = request.toModule(life.id, beside);
+                    Scheduler.Request taken = request.toSchedulerRequest(life.id, beside);
                     asked.add(taken, limited(taken));
                     scheduler.request(now(), taken);
                 });
@@ -277,7 +300,7 @@
 
     /** Follows the weather with the budget of further attempts. */
     private void save() {
-        boolean next = gate.filter(Gate::saving).isPresent();
+        boolean next = gate.filter(RetryStormFilter::isAttemptBudgetActive).isPresent();
         if (next != saving) {
             saving = next;
             scheduler.use(inForce());
@@ -293,15 +316,15 @@
      * How the given attempt ended, and what its answer told; {@code over} where the request is
      * finished with it.
      */
-    void ended(
-            RequestLife<?> life,
+    void attemptEnded(
+            RequestTask<?> life,
             int attempt,
             long node,
-            Ending ending,
+            NodeLink.AttemptResult ending,
             Duration latency,
             boolean over) {
         Status status = ending.status();
-        Told told = ending.told();
+        NodeLink.ResponseMetadata told = ending.metadata();
         post(
                 () -> {
                     life.ended++;
@@ -309,9 +332,9 @@
                     if (over) {
                         open.remove(life.id);
                         if (status == Status.OK) {
-                            gate.ifPresent(kept -> kept.served(life, Time.now()));
+                            gate.ifPresent(kept -> kept.served(life, MonotonicClock.now()));
                         } else {
-                            gate.ifPresent(kept -> kept.neverRan(life));
+                            gate.ifPresent(kept -> kept.recordNeverRan(life));
                         }
                     }
                     scheduler.outcome(
@@ -323,8 +346,8 @@
                                     status,
                                     Micros.of(latency),
                                     over,
-                                    told.used(),
-                                    told.byOthers(),
+                                    told.usePercentPlusOne(),
+                                    told.unitsByOthers(),
                                     told.load()));
                 });
     }
@@ -333,20 +356,27 @@
      * The client of a request has gone; its task says so too, but may come to it only after the
      * client's next try is here. What may have run by then is in doubt from now on.
      */
-    void left(RequestLife<?> life) {
+    void clientDisconnected(RequestTask<?> life) {
         gate.ifPresent(
-                kept -> post(() -> kept.givenUp(life, life.ordered > life.ended, Time.now())));
+                kept ->
+                        post(
+                                () ->
+                                        kept.recordIfUncertain(
+                                                life,
+                                                life.ordered > life.ended,
+                                                MonotonicClock.now())));
     }
 
     /**
      * Nothing is owed any more. Where no attempt is out, one may still have been ordered that its
      * task will not make: it never ran, and the module must not wait for it.
      */
-    void withdrawn(RequestLife<?> life, boolean attemptOut) {
+    void withdraw(RequestTask<?> life, boolean attemptOut) {
         post(
                 () -> {
                     open.remove(life.id);
-                    gate.ifPresent(kept -> kept.givenUp(life, attemptOut, Time.now()));
+                    gate.ifPresent(
+                            kept -> kept.recordIfUncertain(life, attemptOut, MonotonicClock.now()));
                     scheduler.withdrawn(now(), life.id);
                     if (!attemptOut && life.ordered > life.ended) {
                         scheduler.outcome(
@@ -366,7 +396,7 @@
     }
 
     private static long now() {
-        return Micros.of(Time.now());
+        return Micros.of(MonotonicClock.now());
     }
 
     private void post(Runnable event) {
@@ -377,19 +407,19 @@
         while (!closing) {
             try {
                 Timer first = timers.peek();
-                Duration wait = first == null ? Mailbox.LONGEST : Time.until(first.due());
-                Duration look = gate.isEmpty() ? Mailbox.LONGEST : Time.until(gateLook);
+                Duration wait = first == null ? Mailbox.LONGEST : MonotonicClock.until(first.due());
+                Duration look = gate.isEmpty() ? Mailbox.LONGEST : MonotonicClock.until(gateLook);
                 Optional<Runnable> event = events.poll(look.compareTo(wait) < 0 ? look : wait);
                 if (event.isPresent()
                         && !closing) { // it may win against the interrupt that ends the wait
                     event.get().run();
                 }
-                while (!timers.isEmpty() && Time.until(timers.peek().due()).isZero()) {
+                while (!timers.isEmpty() && MonotonicClock.until(timers.peek().due()).isZero()) {
                     scheduler.timer(now(), timers.poll().token());
                 }
-                if (gate.isPresent() && Time.until(gateLook).isZero()) {
-                    gateLook = Time.now().plus(GATE_LOOK);
-                    gate.get().look(scheduler.views(now()), Time.now());
+                if (gate.isPresent() && MonotonicClock.until(gateLook).isZero()) {
+                    gateLook = MonotonicClock.now().plus(GATE_LOOK);
+                    gate.get().updateNodes(scheduler.views(now()), MonotonicClock.now());
                     save();
                 }
             } catch (InterruptedException end) {
@@ -413,33 +443,33 @@
     private final class Orders implements Actions {
         @Override
         public void send(long requestId, long node, long timeoutUs) {
-            RequestLife<?> life = open.get(requestId);
+            RequestTask<?> life = open.get(requestId);
             life.ordered++;
             life.node = node;
-            life.firstSent = life.firstSent == null ? Time.now() : life.firstSent;
-            life.signal(new RequestLife.Send(node, Micros.span(timeoutUs)));
+            life.firstSent = life.firstSent == null ? MonotonicClock.now() : life.firstSent;
+            life.signal(new RequestTask.Send(node, Micros.toDuration(timeoutUs)));
         }
 
         @Override
         public void refuse(long requestId, long retryAfterUs) {
-            RequestLife<?> life = open.get(requestId);
-            Duration advice = Micros.span(retryAfterUs);
+            RequestTask<?> life = open.get(requestId);
+            Duration advice = Micros.toDuration(retryAfterUs);
             finish(
                     requestId,
-                    new RequestLife.Refuse(
+                    new RequestTask.Refuse(
                             life == null || gate.isEmpty()
                                     ? advice
-                                    : gate.get().refused(life, advice, Time.now())));
+                                    : gate.get().refused(life, advice, MonotonicClock.now())));
         }
 
         @Override
         public void fail(long requestId) {
-            finish(requestId, new RequestLife.Fail());
+            finish(requestId, new RequestTask.Fail());
         }
 
         @Override
         public void cancel(long requestId, int attempt) {
-            tell(requestId, new RequestLife.Cancel(attempt));
+            tell(requestId, new RequestTask.Cancel(attempt));
         }
 
         @Override
@@ -450,7 +480,11 @@
 
         @Override
         public void timer(long delayUs, long token) {
-            timers.add(new Timer(Time.now().plus(Micros.span(delayUs)), ++lastTimer, token));
+            timers.add(
+                    new Timer(
+                            MonotonicClock.now().plus(Micros.toDuration(delayUs)),
+                            ++lastTimer,
+                            token));
         }
 
         @Override
@@ -463,18 +497,18 @@
             // Discovery is always watched.
         }
 
-        private void tell(long requestId, RequestLife.Signal signal) {
-            RequestLife<?> life = open.get(requestId);
+        private void tell(long requestId, RequestTask.Signal signal) {
+            RequestTask<?> life = open.get(requestId);
             if (life != null) {
                 life.signal(signal);
             }
         }
 
-        private void finish(long requestId, RequestLife.Signal signal) {
+        private void finish(long requestId, RequestTask.Signal signal) {
             tell(requestId, signal);
-            RequestLife<?> life = open.remove(requestId);
+            RequestTask<?> life = open.remove(requestId);
             if (life != null) {
-                gate.ifPresent(kept -> kept.givenUp(life, false, Time.now()));
+                gate.ifPresent(kept -> kept.recordIfUncertain(life, false, MonotonicClock.now()));
             }
         }
     }
--- a/src/main/java/cypressglade/core/Micros.java
+++ b/src/main/java/cypressglade/core/Micros.java
@@ -16,7 +16,7 @@
         return span.toNanos() / 1000;
     }
 
-    public static Duration span(long micros) {
+    public static Duration toDuration(long micros) {
         return Duration.of(micros, ChronoUnit.MICROS);
     }
 }
--- a/src/main/java/cypressglade/core/Time.java
+++ b/src/main/java/cypressglade/core/MonotonicClock.java
@@ -4,11 +4,11 @@
 import java.time.Instant;
 
 /** The time of day as it was at the start, carried on by the clock that never goes back. */
-public final class Time {
+public final class MonotonicClock {
     private static final Instant START = Instant.now();
     private static final long START_TICK = System.nanoTime();
 
-    private Time() {}
+    private MonotonicClock() {}
 
     public static Instant now() {
         return START.plusNanos(System.nanoTime() - START_TICK);
--- a/src/main/java/cypressglade/core/NodeDirectory.java
+++ b/src/main/java/cypressglade/core/NodeDirectory.java
@@ -24,40 +24,40 @@
     /**
      * A node that is in the list.
      *
-     * @param started since when its process runs, as discovery told it: by the wall clock
-     * @param runsSince the same on the clock of {@link Time}
+     * @param wallClockStart since when its process runs, as discovery told it: by the wall clock
+     * @param monotonicStart the same on the clock of {@link MonotonicClock}
      */
-    public record Known(
+    public record ListedNode(
             String id,
             InetSocketAddress address,
-            int cell,
+            int shard,
             State state,
-            Instant started,
-            Instant runsSince) {}
+            Instant wallClockStart,
+            Instant monotonicStart) {}
 
     private final Map<String, Long> numbers = new HashMap<>();
-    private final Map<Long, Known> nodes = new HashMap<>();
-    private final StartTimes starts = new StartTimes();
+    private final Map<Long, NodeDirectory.ListedNode> nodes = new HashMap<>();
+    private final StartTimeConverter starts = new StartTimeConverter();
     private long version;
     private long lastNumber;
 
     /** Takes in a list; returns the module's form of it. */
     public synchronized List<NodeEntry> update(NodeList list) {
         version = list.version();
-        Instant now = Time.now();
+        Instant now = MonotonicClock.now();
         Instant wall = Instant.now();
         Set<Long> named = new HashSet<>();
         List<NodeEntry> entries = new ArrayList<>();
         for (NodeList.Entry entry : list.entries()) {
             long number = numbers.computeIfAbsent(entry.id(), id -> ++lastNumber);
             named.add(number);
-            Instant runsSince = starts.onOurClock(entry.id(), entry.started(), now, wall);
+            Instant runsSince = starts.toMonotonic(entry.id(), entry.started(), now, wall);
             nodes.put(
                     number,
-                    new Known(
+                    new NodeDirectory.ListedNode(
                             entry.id(),
                             entry.address(),
-                            entry.cell(),
+                            entry.shard(),
                             entry.state(),
                             entry.started(),
                             runsSince));
@@ -66,7 +66,7 @@
                             number,
                             entry.zone(),
                             entry.state(),
-                            entry.cell(),
+                            entry.shard(),
                             entry.weight(),
                             Micros.of(runsSince),
                             entry.kind()));
@@ -81,12 +81,12 @@
         return entries;
     }
 
-    static ListKind kind(NodeList list) {
+    static ListKind listKind(NodeList list) {
         return list.full() ? ListKind.FULL : ListKind.DELTA;
     }
 
     /** The number of the node that has the id now. */
-    synchronized OptionalLong number(String id) {
+    synchronized OptionalLong numberOf(String id) {
         Long number = numbers.get(id);
         return number == null ? OptionalLong.empty() : OptionalLong.of(number);
     }
@@ -94,10 +94,10 @@
     /**
      * The module's views by the ids of their nodes; one that left the list meanwhile is left out.
      */
-    synchronized List<NodeFact> facts(List<NodeView> views) {
+    synchronized List<NodeStatus> statuses(List<NodeView> views) {
         return views.stream()
                 .filter(view -> nodes.containsKey(view.node()))
-                .map(view -> new NodeFact(nodes.get(view.node()), view))
+                .map(view -> new NodeStatus(nodes.get(view.node()), view))
                 .toList();
     }
 
@@ -105,13 +105,13 @@
      * The same, and after them those of the list that the module keeps nothing of, such as drained
      * ones.
      */
-    synchronized List<NodeFact> all(List<NodeView> views) {
-        List<NodeFact> all = new ArrayList<>(facts(views));
+    synchronized List<NodeStatus> allStatuses(List<NodeView> views) {
+        List<NodeStatus> all = new ArrayList<>(statuses(views));
         Set<Long> seen = views.stream().map(NodeView::node).collect(Collectors.toSet());
         nodes.forEach(
                 (number, known) -> {
                     if (!seen.contains(number)) {
-                        all.add(new NodeFact(known, NodeView.unknown(number, known.cell())));
+                        all.add(new NodeStatus(known, NodeView.unknown(number, known.shard())));
                     }
                 });
         return all;
@@ -127,16 +127,16 @@
     }
 
     /** A node, if work may start there now: it is known, and neither draining nor gone. */
-    public synchronized Optional<Known> ready(long node) {
+    public synchronized Optional<NodeDirectory.ListedNode> findReady(long node) {
         return Optional.ofNullable(nodes.get(node)).filter(known -> known.state() == State.READY);
     }
 
     /** Whether a shard can take no work because what holds it drains. */
-    public synchronized boolean draining(int shard) {
+    public synchronized boolean isDraining(int shard) {
         Set<State> states =
                 nodes.values().stream()
-                        .filter(node -> node.cell() == shard)
-                        .map(Known::state)
+                        .filter(node -> node.shard() == shard)
+                        .map(NodeDirectory.ListedNode::state)
                         .collect(Collectors.toSet());
         return states.contains(State.DRAINING) && !states.contains(State.READY);
     }
--- a/src/main/java/cypressglade/core/NodeLink.java
+++ b/src/main/java/cypressglade/core/NodeLink.java
@@ -13,14 +13,19 @@
      * connection no longer carries it. It begins at the node only if it is {@code wanted} just
      * before its first byte.
      */
-    Attempt send(long node, W work, Instant until, BooleanSupplier wanted, Consumer<Ending> ended);
+    Attempt send(
+            long node,
+            W work,
+            Instant until,
+            BooleanSupplier wanted,
+            Consumer<AttemptResult> ended);
 
     /** Asks a node for a sign of life. */
-    void probe(long node, Consumer<Ending> ended);
+    void probe(long node, Consumer<AttemptResult> ended);
 
     /** An attempt that is out. */
     interface Attempt {
-        void abandon();
+        void cancel();
     }
 
     /**
@@ -28,22 +33,26 @@
      * is how long the node took, as far as the link can tell it from this program's own lateness;
      * empty where it cannot.
      */
-    record Ending(Scheduler.Status status, byte[] answer, Told told, Optional<Duration> took) {
+    record AttemptResult(
+            Scheduler.Status status,
+            byte[] answer,
+            ResponseMetadata metadata,
+            Optional<Duration> latency) {
         private static final byte[] NONE = {};
 
-        public Ending(Scheduler.Status status, byte[] answer, Told told) {
+        public AttemptResult(Scheduler.Status status, byte[] answer, ResponseMetadata told) {
             this(status, answer, told, Optional.empty());
         }
 
         /** An end with no answer, or none that told anything. */
-        public static Ending of(Scheduler.Status status) {
-            return new Ending(status, NONE, Told.NOTHING);
+        public static AttemptResult withoutResponse(Scheduler.Status status) {
+            return new AttemptResult(status, NONE, ResponseMetadata.NOTHING);
         }
 
         /** An answer that was read whole; its body counts only where it was served. */
-        public static Ending read(
-                Scheduler.Status status, byte[] answer, Told told, Duration took) {
-            return new Ending(
+        public static AttemptResult fromResponse(
+                Scheduler.Status status, byte[] answer, ResponseMetadata told, Duration took) {
+            return new AttemptResult(
                     status, status == Scheduler.Status.OK ? answer : NONE, told, Optional.of(took));
         }
     }
@@ -56,7 +65,7 @@
      * node's report by {@link Scheduler.Settings#loadNames} (empty where none, NaN where a name was
      * not told).
      */
-    record Told(int used, int byOthers, float[] load) {
-        public static final Told NOTHING = new Told(0, 0, new float[0]);
+    record ResponseMetadata(int usePercentPlusOne, int unitsByOthers, float[] load) {
+        public static final ResponseMetadata NOTHING = new ResponseMetadata(0, 0, new float[0]);
     }
 }
--- a/src/main/java/cypressglade/core/NodeList.java
+++ b/src/main/java/cypressglade/core/NodeList.java
@@ -14,7 +14,7 @@
             InetSocketAddress address,
             int zone,
             int kind,
-            int cell,
+            int shard,
             Scheduler.State state,
             float weight,
             Instant started) {}
--- a/src/main/java/cypressglade/core/NodeFact.java
+++ b/src/main/java/cypressglade/core/NodeStatus.java
@@ -1,4 +1,4 @@
 package cypressglade.core;
 
 /** A node of the list, and what the module makes of it. */
-public record NodeFact(NodeDirectory.Known known, Scheduler.NodeView view) {}
+public record NodeStatus(NodeDirectory.ListedNode node, Scheduler.NodeView view) {}
--- a/src/main/java/cypressglade/core/RequestLog.java
+++ b/src/main/java/cypressglade/core/RequestLog.java
@@ -27,7 +27,7 @@
     private int unsaid;
 
     /** What became of a request or a connection. */
-    public enum What {
+    public enum Event {
         REFUSED,
         FAILED,
         RETRIED,
@@ -39,12 +39,12 @@
         STOPPED;
 
         /** Whether a request may have gone without what it is owed. */
-        boolean alarming() {
+        boolean isUnexpected() {
             return this == BY_DEADLINE || this == CUT_OFF || this == STOPPED;
         }
     }
 
-    private record Entry(Instant at, String id, What what, String why) {
+    private record Entry(Instant at, String id, RequestLog.Event what, String why) {
         @Override
         public String toString() {
             return at + " " + id + " " + what.name().toLowerCase(Locale.ROOT) + ": " + why;
@@ -52,13 +52,13 @@
     }
 
     /** Notes what became of it; {@code why} names the cause in a few words. */
-    public synchronized void note(String id, What what, String why) {
-        Entry entry = new Entry(Time.now(), id, what, why);
+    public synchronized void record(String id, RequestLog.Event what, String why) {
+        Entry entry = new Entry(MonotonicClock.now(), id, what, why);
         kept.add(entry);
         if (kept.size() > MOST_KEPT) {
             kept.poll();
         }
-        if (what.alarming()) {
+        if (what.isUnexpected()) {
             tell(entry);
         }
     }
--- a/src/main/java/cypressglade/core/RequestPool.java
+++ b/src/main/java/cypressglade/core/RequestPool.java
@@ -21,8 +21,8 @@
 
     private final ThreadPoolExecutor threads;
     private final Counters counters;
-    private final Set<RequestLife<?>> waiting = ConcurrentHashMap.newKeySet();
-    private final Set<RequestLife<?>> working = ConcurrentHashMap.newKeySet();
+    private final Set<RequestTask<?>> waiting = ConcurrentHashMap.newKeySet();
+    private final Set<RequestTask<?>> working = ConcurrentHashMap.newKeySet();
     private final AtomicInteger open = new AtomicInteger();
     private volatile int most;
 
@@ -44,7 +44,7 @@
     }
 
     /** Takes a request; false when there is no room, and then nothing has happened to it. */
-    public boolean start(RequestLife<?> life) {
+    public boolean start(RequestTask<?> life) {
         counters.add(Counters.Name.TAKEN);
         if (open.incrementAndGet() > most) {
             open.decrementAndGet();
@@ -52,12 +52,12 @@
             return false;
         }
         waiting.add(life);
-        life.begin(this);
+        life.submit(this);
         return true;
     }
 
     /** Puts a request on a thread; false, and it is over, where none is free: one ends just now. */
-    boolean work(RequestLife<?> life) {
+    boolean execute(RequestTask<?> life) {
         working.add(life);
         waiting.remove(life);
         try {
@@ -65,13 +65,13 @@
             return true;
         } catch (RejectedExecutionException full) {
             counters.add(Counters.Name.REFUSED_NO_ROOM);
-            over(life);
+            release(life);
             return false;
         }
     }
 
     /** The one place where a request's room is given back. */
-    void over(RequestLife<?> life) {
+    void release(RequestTask<?> life) {
         waiting.remove(life);
         working.remove(life);
         open.decrementAndGet();
@@ -81,27 +81,27 @@
      * Answers those that the module left without a word past their deadline: to be called now and
      * then.
      */
-    public void late(Instant now) {
-        waiting.forEach(life -> life.late(now));
+    public void expireOverdue(Instant now) {
+        waiting.forEach(life -> life.expireIfOverdue(now));
     }
 
     /** Has each open request answered now, as the program is about to be killed. */
     public void stopAll() {
-        waiting.forEach(RequestLife::stop);
-        working.forEach(RequestLife::stop);
+        waiting.forEach(RequestTask::stop);
+        working.forEach(RequestTask::stop);
     }
 
     /**
      * Takes new bounds, on requests that are open and on those of them that have a thread; what
      * runs goes on.
      */
-    public void use(int mostOpen, int mostThreads) {
+    public void resize(int mostOpen, int mostThreads) {
         most = mostOpen;
         threads.setMaximumPoolSize(mostThreads);
     }
 
     /** How many requests are open. */
-    public int open() {
+    public int openCount() {
         return open.get();
     }
 
--- a/src/main/java/cypressglade/core/RequestLife.java
+++ b/src/main/java/cypressglade/core/RequestTask.java
@@ -2,8 +2,6 @@
 
 import cypressglade.core.Counters.Name;
 import cypressglade.core.NodeLink.Attempt;
-import cypressglade.core.NodeLink.Ending;
-import cypressglade.core.RequestLog.What;
 import cypressglade.core.Scheduler.Status;
 import cypressglade.storm.Try;
 import java.time.Duration;
@@ -16,7 +14,7 @@
  * told. From its first attempt on it is read from top to bottom in {@link #run}, as a blocking
  * task; its links do not block.
  */
-public final class RequestLife<W> implements Runnable {
+public final class RequestTask<W> implements Runnable {
     /** How long past the end of a request the module's last word is waited for. */
     private static final Duration ORDER_GRACE = Duration.ofMillis(15);
 
@@ -24,7 +22,7 @@
     private final Counters counters;
     private final IoRequest request;
     private final W work;
-    private final Caller caller;
+    private final Responder caller;
     private final NodeLink<W> link;
     private final Mailbox<Signal> signals = new Mailbox<>();
     private final AtomicReference<Phase> phase = new AtomicReference<>(Phase.WAITING);
@@ -68,7 +66,7 @@
 
     record Cancel(int attempt) implements Signal {}
 
-    private record Ended(Ending ending) implements Signal {}
+    private record Ended(NodeLink.AttemptResult ending) implements Signal {}
 
     private record Gone() implements Signal {}
 
@@ -77,12 +75,12 @@
     /** The program stops and can wait no longer. */
     private record Stop() implements Signal {}
 
-    public RequestLife(
+    public RequestTask(
             Engine engine,
             Counters counters,
             IoRequest request,
             W work,
-            Caller caller,
+            Responder caller,
             NodeLink<W> link) {
         this.engine = engine;
         this.counters = counters;
@@ -90,13 +88,13 @@
         this.work = work;
         this.caller = caller;
         this.link = link;
-        this.log = engine.log();
+        this.log = engine.requestLog();
     }
 
     /** Hands it to the module; its ends, and its thread, are the pool's from here on. */
-    void begin(RequestPool room) {
+    void submit(RequestPool room) {
         pool = room;
-        engine.taken(this, request);
+        engine.submit(this, request);
     }
 
     void signal(Signal signal) {
@@ -104,19 +102,19 @@
             signals.add(signal);
         } else if (signal instanceof Send && phase.compareAndSet(Phase.WAITING, Phase.WORKING)) {
             signals.add(signal);
-            if (!pool.work(
+            if (!pool.execute(
                     this)) { // no thread for it: it never ran anywhere, and the module hears so
-                caller.refused(Duration.ZERO);
-                engine.withdrawn(this, false);
+                caller.refuse(Duration.ZERO);
+                engine.withdraw(this, false);
             }
         } else if (!(signal instanceof Cancel) && phase.compareAndSet(Phase.WAITING, Phase.OVER)) {
             end(signal);
-            pool.over(this);
+            pool.release(this);
         }
     }
 
     /** Ends it where the module has said nothing by its deadline and a little more. */
-    void late(Instant now) {
+    void expireIfOverdue(Instant now) {
         if (phase.get() == Phase.WAITING && now.isAfter(request.expiry().plus(ORDER_GRACE))) {
             signal(new Late());
         }
@@ -131,9 +129,9 @@
      * The client went away: the module hears of it, nothing is answered, and nothing begins any
      * more.
      */
-    public void clientGone() {
+    public void clientDisconnected() {
         left = true;
-        engine.left(this); // before the client can come again by another connection
+        engine.clientDisconnected(this); // before the client can come again by another connection
         signal(new Gone());
     }
 
@@ -143,14 +141,14 @@
         try {
             work();
         } catch (RuntimeException | Error fault) {
-            log.note(caller.id(), What.CUT_OFF, "its task failed: " + fault);
+            log.record(caller.requestId(), RequestLog.Event.CUT_OFF, "its task failed: " + fault);
             if (!answered) { // its client is owed an answer all the same
                 fail();
-                engine.withdrawn(this, false);
+                engine.withdraw(this, false);
             }
             throw fault;
         } finally {
-            pool.over(this);
+            pool.release(this);
         }
     }
 
@@ -166,11 +164,11 @@
                 continue;
             }
             counters.add(Name.SENT);
-            Instant sent = Time.now();
+            Instant sent = MonotonicClock.now();
             if (attempt > 0) {
-                log.note(
-                        caller.id(),
-                        What.RETRIED,
+                log.record(
+                        caller.requestId(),
+                        RequestLog.Event.RETRIED,
                         "attempt "
                                 + (attempt + 1)
                                 + " at node "
@@ -178,24 +176,27 @@
                                 + ", as the last ended "
                                 + last);
             }
-            Ending ending = attempt(send, sent);
+            NodeLink.AttemptResult ending = attempt(send, sent);
             last = ending.status();
-            counters.ended(ending.status());
+            counters.countAttemptEnd(ending.status());
             boolean served = ending.status() == Status.OK;
             if (served && !gone) {
                 counters.add(Name.ANSWERED_SERVED);
                 answered = true;
-                caller.served(ending.answer());
+                caller.serve(ending.answer());
             } else if (stopped && !gone) {
-                log.note(caller.id(), What.STOPPED, "an attempt was out at node " + send.node());
+                log.record(
+                        caller.requestId(),
+                        RequestLog.Event.STOPPED,
+                        "an attempt was out at node " + send.node());
                 fail();
             }
-            engine.ended(
+            engine.attemptEnded(
                     this,
                     attempt,
                     send.node(),
                     ending,
-                    ending.took().orElseGet(() -> Duration.between(sent, Time.now())),
+                    ending.latency().orElseGet(() -> Duration.between(sent, MonotonicClock.now())),
                     served || gone || stopped);
             if (served || gone || stopped) {
                 return;
@@ -211,24 +212,27 @@
     private boolean end(Signal order) {
         if (order instanceof Refuse refuse) {
             counters.add(Name.ANSWERED_REFUSED);
-            log.note(
-                    caller.id(),
-                    What.REFUSED,
+            log.record(
+                    caller.requestId(),
+                    RequestLog.Event.REFUSED,
                     "by the module, to come again after " + refuse.retryAfter().toMillis() + " ms");
-            caller.refused(refuse.retryAfter());
+            caller.refuse(refuse.retryAfter());
         } else if (order instanceof Fail) {
-            log.note(caller.id(), What.FAILED, "by the module");
+            log.record(caller.requestId(), RequestLog.Event.FAILED, "by the module");
             fail();
         } else if (order instanceof Stop) {
             endAtStop();
-            engine.withdrawn(this, false);
+            engine.withdraw(this, false);
         } else if (order instanceof Gone) {
-            engine.withdrawn(this, false);
+            engine.withdraw(this, false);
         } else if (order instanceof Late) {
             counters.add(Name.ANSWERED_BY_DEADLINE);
-            log.note(caller.id(), What.BY_DEADLINE, "the module had not said a word");
-            caller.failed();
-            engine.withdrawn(this, false);
+            log.record(
+                    caller.requestId(),
+                    RequestLog.Event.BY_DEADLINE,
+                    "the module had not said a word");
+            caller.fail();
+            engine.withdraw(this, false);
         } else {
             return false;
         }
@@ -239,25 +243,25 @@
      * Nothing is out for it: what was never sent is refused, which promises that it did not run.
      */
     private void endAtStop() {
-        log.note(caller.id(), What.STOPPED, "no attempt was out");
+        log.record(caller.requestId(), RequestLog.Event.STOPPED, "no attempt was out");
         if (worked) {
             fail();
         } else {
             counters.add(Name.ANSWERED_REFUSED);
-            caller.refused(Duration.ZERO);
+            caller.refuse(Duration.ZERO);
         }
     }
 
     private void fail() {
         counters.add(Name.ANSWERED_FAILED);
         answered = true;
-        caller.failed();
+        caller.fail();
     }
 
     /**
      * Waits for the end of one attempt, which comes by its limit; by then no connection carries it.
      */
-    private Ending attempt(Send send, Instant sent) {
+    private NodeLink.AttemptResult attempt(Send send, Instant sent) {
         Instant until = request.expiry();
         if (!send.limit().isZero() && sent.plus(send.limit()).isBefore(until)) {
             until = sent.plus(send.limit());
@@ -267,21 +271,21 @@
                         send.node(),
                         work,
                         until,
-                        () -> !left && caller.present(),
+                        () -> !left && caller.isClientConnected(),
                         ending -> signal(new Ended(ending)));
         while (true) {
             Signal signal = await(Instant.MAX);
             if (signal instanceof Ended end) {
                 return end.ending();
             } else if (signal instanceof Cancel) {
-                out.abandon();
+                out.cancel();
             } else if (signal instanceof Stop) {
                 stopped = true;
-                out.abandon();
+                out.cancel();
             } else if (signal instanceof Gone) {
                 // an attempt that has begun runs on: what becomes of it still tells of its node
                 gone = true;
-                engine.withdrawn(this, true);
+                engine.withdraw(this, true);
             }
         }
     }
@@ -289,7 +293,8 @@
     private Signal await(Instant until) {
         try {
             // Who waits for the end of an attempt looks again after the longest wait.
-            Duration left = until.equals(Instant.MAX) ? Mailbox.LONGEST : Time.until(until);
+            Duration left =
+                    until.equals(Instant.MAX) ? Mailbox.LONGEST : MonotonicClock.until(until);
             return signals.poll(left).orElseGet(Late::new);
         } catch (InterruptedException end) {
             return new Late();
--- a/src/main/java/cypressglade/core/Retry.java
+++ b/src/main/java/cypressglade/core/Retry.java
@@ -30,13 +30,13 @@
      */
     public static <T, E extends Exception> T untilDone(
             Duration most, String what, Predicate<Exception> passing, Call<T, E> call) throws E {
-        Instant end = Time.now().plus(most);
+        Instant end = MonotonicClock.now().plus(most);
         boolean told = false;
         while (true) {
             try {
                 return call.call();
             } catch (Exception refused) {
-                if (!passing.test(refused) || !Time.now().isBefore(end) || !paused()) {
+                if (!passing.test(refused) || !MonotonicClock.now().isBefore(end) || !paused()) {
                     throw refused;
                 }
                 if (!told) {
--- a/src/main/java/cypressglade/core/Gate.java
+++ b/src/main/java/cypressglade/core/RetryStormFilter.java
@@ -24,8 +24,8 @@
  * one, and when a write is given up that may have run. Puts requests into the terms of that
  * package; decides nothing. The engine's thread owns it.
  */
-final class Gate implements Storms.Out {
-    private static final System.Logger LOG = System.getLogger(Gate.class.getName());
+final class RetryStormFilter implements Storms.Out {
+    private static final System.Logger LOG = System.getLogger(RetryStormFilter.class.getName());
     private static final double US = 1e6;
     // In a window, beside the share: a calm place needs a few.
     private static final double FREE_RESENDS = 5;
@@ -36,39 +36,43 @@
     private final Duration coldSpan;
     private Settings settings;
 
-    Gate(Terms terms, Settings settings, Duration coldSpan, Counters counters, Instant now) {
+    RetryStormFilter(
+            Terms terms, Settings settings, Duration coldSpan, Counters counters, Instant now) {
         this.counters = counters;
         this.coldSpan = coldSpan;
         storms = new Storms(terms, new SplittableRandom(settings.seed()), this, now);
-        use(settings);
+        applySettings(settings);
     }
 
     /** What was decided stands: a ledger is no setting. */
-    void use(Settings next) {
+    void applySettings(Settings next) {
         settings = next;
         storms.longest(
                 next.limits().retryAfter()
-                        ? Micros.span(next.limits().maxRetryAfterUs())
+                        ? Micros.toDuration(next.limits().maxRetryAfterUs())
                         : Duration.ZERO);
     }
 
-    /** Whether further attempts of our own are to be kept within what {@link #budget} allows. */
-    boolean saving() {
+    /**
+     * Whether further attempts of our own are to be kept within what {@link #withAttemptBudget}
+     * allows.
+     */
+    boolean isAttemptBudgetActive() {
         return storms.saving();
     }
 
     /** The settings with a budget of further attempts, where they have no smaller one. */
-    static Settings budget(Settings told, Terms terms) {
+    static Settings withAttemptBudget(Settings told, Terms terms) {
         return told.within(FREE_RESENDS, terms.secondTries(), Micros.of(BUDGET_WINDOW));
     }
 
     /** Whether the module is not asked, as the request has its answer already. */
-    boolean stops(RequestLife<?> life, IoRequest request, Instant now) {
-        life.asTry = of(request);
+    boolean tryReject(RequestTask<?> life, IoRequest request, Instant now) {
+        life.asTry = toStormRequest(request);
         Storms.Decision decision = storms.arrived(life.asTry, now);
         switch (decision.answer()) {
-            case TURNED_AWAY -> life.signal(new RequestLife.Refuse(decision.comeBack()));
-            case IN_DOUBT -> life.signal(new RequestLife.Fail());
+            case TURNED_AWAY -> life.signal(new RequestTask.Refuse(decision.comeBack()));
+            case IN_DOUBT -> life.signal(new RequestTask.Fail());
             default -> {
                 return false;
             }
@@ -76,12 +80,12 @@
         return true;
     }
 
-    void served(RequestLife<?> life, Instant now) {
+    void served(RequestTask<?> life, Instant now) {
         storms.served(life.asTry, now);
     }
 
     /** The module refuses: when to come again. */
-    Duration refused(RequestLife<?> life, Duration advice, Instant now) {
+    Duration refused(RequestTask<?> life, Duration advice, Instant now) {
         return storms.refused(life.asTry, advice, now);
     }
 
@@ -89,26 +93,26 @@
      * It is over for its client without an answer that says it ran; {@code out} where an attempt
      * is.
      */
-    void givenUp(RequestLife<?> life, boolean out, Instant now) {
+    void recordIfUncertain(RequestTask<?> life, boolean out, Instant now) {
         if (life.asTry != null && (out || life.mayHaveRun)) {
             storms.doubts().add(life.asTry, life.firstSent, now);
         }
     }
 
     /** What was still out when its client left has ended without running. */
-    void neverRan(RequestLife<?> life) {
+    void recordNeverRan(RequestTask<?> life) {
         if (life.asTry != null && !life.mayHaveRun) {
             storms.doubts().neverRan(life.asTry);
         }
     }
 
     /** Writes in doubt, for the next life of this instance. */
-    byte[] doubts(Instant now) {
+    byte[] uncertainWrites(Instant now) {
         return storms.doubts().bytes(now);
     }
 
     /** Takes those of the former life; where they are not known, all that could be in doubt is. */
-    void doubts(Optional<byte[]> former, Instant now) {
+    void restoreUncertainWrites(Optional<byte[]> former, Instant now) {
         former.ifPresentOrElse(storms.doubts()::restore, () -> storms.doubts().blind(now));
     }
 
@@ -116,7 +120,7 @@
      * A request as one try of its client; of a class or plan that the settings lack nothing is
      * known.
      */
-    Try of(IoRequest request) {
+    Try toStormRequest(IoRequest request) {
         boolean known =
                 request.requestClass() < settings.classes().size()
                         && request.plan() < settings.plans().size();
@@ -129,10 +133,10 @@
                 request.key(),
                 request.requestClass(),
                 request.units(),
-                request.repeat(),
+                request.isRetry(),
                 effect(type, request),
-                request.token(),
-                type == null ? Duration.ZERO : Micros.span(type.keyTtlUs()),
+                request.idempotencyToken(),
+                type == null ? Duration.ZERO : Micros.toDuration(type.keyTtlUs()),
                 request.expiry());
     }
 
@@ -140,7 +144,7 @@
         if (type == null || type.effect() == Scheduler.Effect.SAFE) {
             return Try.Effect.NONE;
         }
-        return type.effect() == Scheduler.Effect.KEYED && request.token() != 0
+        return type.effect() == Scheduler.Effect.KEYED && request.idempotencyToken() != 0
                 ? Try.Effect.DROPPED
                 : Try.Effect.TWICE;
     }
@@ -148,7 +152,7 @@
     /**
      * Takes what the module knows of the nodes, of which this instance may promise its part only.
      */
-    void look(List<NodeView> views, Instant now) {
+    void updateNodes(List<NodeView> views, Instant now) {
         Map<Integer, Speed> speeds = new HashMap<>();
         for (NodeView view : views) {
             if (view.ready() && !view.silent()) {
--- a/src/main/java/cypressglade/core/StartTimes.java
+++ b/src/main/java/cypressglade/core/StartTimeConverter.java
@@ -9,12 +9,12 @@
 import java.util.Set;
 
 /**
- * When nodes started, on the clock of {@link Time}, which goes on evenly. Discovery tells it by the
- * wall clock, which may be stepped by an hour either way between a node's start and the list that
- * tells of it. Of the times that a told one can mean under the steps seen so far, the latest that
- * is not ahead counts: a node must not be taken for warm. One thread at a time.
+ * When nodes started, on the clock of {@link MonotonicClock}, which goes on evenly. Discovery tells
+ * it by the wall clock, which may be stepped by an hour either way between a node's start and the
+ * list that tells of it. Of the times that a told one can mean under the steps seen so far, the
+ * latest that is not ahead counts: a node must not be taken for warm. One thread at a time.
  */
-final class StartTimes {
+final class StartTimeConverter {
     private static final Duration LEAST_STEP = Duration.ofMillis(500);
     private static final int MOST_STEPS = 16;
 
@@ -30,7 +30,7 @@
      * @param now on our clock
      * @param wall the wall clock at the same moment
      */
-    Instant onOurClock(String node, Instant told, Instant now, Instant wall) {
+    Instant toMonotonic(String node, Instant told, Instant now, Instant wall) {
         noteStep(Duration.between(now, wall));
         if (told.equals(Instant.EPOCH)) {
             starts.remove(node);
--- a/src/main/java/cypressglade/http/ClientConnection.java
+++ b/src/main/java/cypressglade/http/ClientConnection.java
@@ -1,6 +1,6 @@
 package cypressglade.http;
 
-import cypressglade.core.Time;
+import cypressglade.core.MonotonicClock;
 import java.time.Instant;
 import org.xnio.StreamConnection;
 
@@ -14,7 +14,7 @@
     private final WatchedSourceConduit source;
 
     /** Since when nothing is open, or the first part of a request is here. */
-    Instant since = Time.now();
+    Instant since = MonotonicClock.now();
 
     /** Part of a request's head is here. */
     boolean coming;
@@ -46,7 +46,7 @@
     private void heard() {
         if (!open && !coming && !bodyAwaited) {
             coming = true;
-            since = answered ? Time.now() : since;
+            since = answered ? MonotonicClock.now() : since;
         }
     }
 
--- a/src/main/java/cypressglade/http/ClientListener.java
+++ b/src/main/java/cypressglade/http/ClientListener.java
@@ -1,18 +1,17 @@
 package cypressglade.http;
 
 import cypressglade.config.Budget;
-import cypressglade.core.Caller;
 import cypressglade.core.Counters;
 import cypressglade.core.Counters.Name;
 import cypressglade.core.Engine;
 import cypressglade.core.IoRequest;
+import cypressglade.core.MonotonicClock;
 import cypressglade.core.NodeLink;
-import cypressglade.core.RequestLife;
 import cypressglade.core.RequestLog;
-import cypressglade.core.RequestLog.What;
 import cypressglade.core.RequestPool;
+import cypressglade.core.RequestTask;
+import cypressglade.core.Responder;
 import cypressglade.core.Scheduler.Settings;
-import cypressglade.core.Time;
 import cypressglade.net.Listening;
 import cypressglade.net.Loop;
 import cypressglade.storm.Intake;
@@ -153,7 +152,7 @@
         this.engine = engine;
         this.counters = counters;
         this.pool = pool;
-        this.log = engine.log();
+        this.log = engine.requestLog();
         this.link = link;
         this.ready = ready;
         this.parser = new RequestParser(settings);
@@ -175,12 +174,12 @@
         listening.bound(budget.clientConnections() + CROSSING);
         listening.resume();
         loop.execute(this::sweep);
-        loop.execute(() -> pace(Time.now()));
+        loop.execute(() -> pace(MonotonicClock.now()));
     }
 
     /** Looks at how late this thread runs, and accepts no more than it can work on in time. */
     private void pace(Instant due) {
-        Instant now = Time.now();
+        Instant now = MonotonicClock.now();
         atOnce =
                 intake.look(Duration.between(due, now), clients.size(), budget.clientConnections());
         loop.late(intake.lateness());
@@ -314,7 +313,7 @@
             return;
         }
         forgetClosed();
-        Instant now = Time.now();
+        Instant now = MonotonicClock.now();
         List.copyOf(clients.values()).stream()
                 .filter(client -> client.idle() && !client.answered)
                 .filter(client -> client.since.isBefore(now.minus(SILENT)))
@@ -340,17 +339,17 @@
         forgetClosed();
         makeRoom();
         ids.sweep();
-        pool.late(Time.now());
-        Instant oldest = Time.now().minus(PATIENCE);
-        Instant unread = Time.now().minus(READING);
+        pool.expireOverdue(MonotonicClock.now());
+        Instant oldest = MonotonicClock.now().minus(PATIENCE);
+        Instant unread = MonotonicClock.now().minus(READING);
         List.copyOf(clients.values()).stream()
                 .filter(client -> client.writing)
                 .filter(client -> client.since.isBefore(unread))
                 .forEach(
                         client -> {
-                            log.note(
+                            log.record(
                                     RequestLog.NO_ID,
-                                    What.CUT_OFF,
+                                    RequestLog.Event.CUT_OFF,
                                     "its answer was not read in time");
                             close(client);
                         });
@@ -370,9 +369,12 @@
      * look.
      */
     private void closeHalf(ClientConnection client) {
-        Instant longest = Time.now().minus(PATIENCE).minus(SWEEP);
+        Instant longest = MonotonicClock.now().minus(PATIENCE).minus(SWEEP);
         if (client.since.isBefore(longest) || !client.hasUnread()) {
-            log.note(RequestLog.NO_ID, What.CLOSED, "half a request, and no more in time");
+            log.record(
+                    RequestLog.NO_ID,
+                    RequestLog.Event.CLOSED,
+                    "half a request, and no more in time");
             closeInOrder(client);
         }
     }
@@ -383,7 +385,7 @@
      */
     private void closeIfAtRest(ClientConnection client, String why) {
         if (client.idle() && !client.hasUnread()) {
-            log.note(RequestLog.NO_ID, What.CLOSED, why);
+            log.record(RequestLog.NO_ID, RequestLog.Event.CLOSED, why);
             closeInOrder(client);
         }
     }
@@ -441,7 +443,7 @@
     }
 
     private void handle(HttpServerExchange exchange) {
-        Instant arrived = Time.now();
+        Instant arrived = MonotonicClock.now();
         ClientConnection client = client(exchange);
         client.coming = false;
         if (client.answered) { // the time of the first request is counted from the connect
@@ -469,7 +471,7 @@
                                     exchange.getRequestURI(),
                                     exchange.getRequestHeaders(),
                                     arrived)
-                            .by(last);
+                            .withDeadlineAtMost(last);
             if (exchange.getRequestContentLength() > MOST_BODY) {
                 throw new RequestParser.Rejected(413, "the body is over 64 KiB");
             }
@@ -511,8 +513,10 @@
                                 reject(same, 413, "the body is over 64 KiB");
                             } else {
                                 counters.add(Name.MALFORMED);
-                                log.note(
-                                        id(same), What.MALFORMED, "its body broke off: " + failure);
+                                log.record(
+                                        id(same),
+                                        RequestLog.Event.MALFORMED,
+                                        "its body broke off: " + failure);
                                 IoUtils.safeClose(same.getConnection());
                             }
                         });
@@ -544,7 +548,7 @@
                     whole
                             ? () -> true
                             : loop.after(
-                                    Time.until(most.isBefore(until) ? most : until),
+                                    MonotonicClock.until(most.isBefore(until) ? most : until),
                                     this::turnAway);
         }
 
@@ -563,9 +567,9 @@
         void turnAway() {
             if (end()) {
                 counters.add(Name.REFUSED_NO_ROOM);
-                log.note(
+                log.record(
                         id(exchange),
-                        What.REFUSED,
+                        RequestLog.Event.REFUSED,
                         "no room for its body, or it did not come in time");
                 answer(exchange, 503, new byte[0]);
             }
@@ -591,25 +595,28 @@
                         key,
                         body);
         Answer answer = new Answer(exchange);
-        RequestLife<HttpWork> life =
-                new RequestLife<>(engine, counters, request, work, answer, link);
+        RequestTask<HttpWork> life =
+                new RequestTask<>(engine, counters, request, work, answer, link);
         ClientConnection client = client(exchange);
         if (body.length > budget.bodyBytes() - holding) {
             counters.add(Name.REFUSED_NO_ROOM);
-            log.note(answer.id(), What.REFUSED, "no room for the bodies of open requests");
-            answer.refused(Duration.ZERO);
+            log.record(
+                    answer.requestId(),
+                    RequestLog.Event.REFUSED,
+                    "no room for the bodies of open requests");
+            answer.refuse(Duration.ZERO);
         } else if (pool.start(life)) {
             client.open = true;
             hold(client, body.length);
             watchForEnd(exchange, life);
         } else {
-            log.note(answer.id(), What.REFUSED, "too many requests are open");
-            answer.refused(Duration.ZERO);
+            log.record(answer.requestId(), RequestLog.Event.REFUSED, "too many requests are open");
+            answer.refuse(Duration.ZERO);
         }
     }
 
     /** Reads on while the request is open, so that a client that goes away is noticed. */
-    private void watchForEnd(HttpServerExchange exchange, RequestLife<HttpWork> life) {
+    private void watchForEnd(HttpServerExchange exchange, RequestTask<HttpWork> life) {
         HttpServerConnection connection = (HttpServerConnection) exchange.getConnection();
         connection
                 .getChannel()
@@ -617,7 +624,7 @@
                 .setReadListener(
                         source -> {
                             if (hasLeft(exchange)) {
-                                life.clientGone();
+                                life.clientDisconnected();
                                 gone(exchange);
                             }
                         });
@@ -626,7 +633,7 @@
 
     private void gone(HttpServerExchange exchange) {
         counters.add(Name.GONE);
-        log.note(id(exchange), What.GONE, "its client left");
+        log.record(id(exchange), RequestLog.Event.GONE, "its client left");
         IoUtils.safeClose(exchange.getConnection());
         left(client(exchange));
     }
@@ -702,7 +709,7 @@
 
     private void reject(HttpServerExchange exchange, int status, String why) {
         counters.add(Name.MALFORMED);
-        log.note(id(exchange), What.MALFORMED, why);
+        log.record(id(exchange), RequestLog.Event.MALFORMED, why);
         exchange.setPersistent(false);
         answer(exchange, status, (why + "\n").getBytes(StandardCharsets.UTF_8));
     }
@@ -721,9 +728,9 @@
         }
         if (body.length
                 > budget.answerBytes() - answering) { // clients that do not read hold too much
-            log.note(
+            log.record(
                     id(exchange),
-                    What.FAILED,
+                    RequestLog.Event.FAILED,
                     "no room for its answer of " + body.length + " bytes");
             answer(exchange, 502, new byte[0]);
             return;
@@ -732,7 +739,7 @@
         client.answered |=
                 client.open; // whoever only looks at the health makes way as the silent do
         client.open = false;
-        client.since = Time.now();
+        client.since = MonotonicClock.now();
         if (!exchange.isRequestComplete()) {
             answerUnread((HttpServerConnection) exchange.getConnection(), client, status);
             return;
@@ -748,7 +755,7 @@
         exchange.addExchangeCompleteListener(
                 (done, next) -> {
                     answered(client);
-                    client.since = Time.now();
+                    client.since = MonotonicClock.now();
                     client.writing = false;
                     client.coming = client.pipelined > 0; // the next request, or a part of it
                     countPipelined(client, 0);
@@ -804,7 +811,7 @@
     }
 
     /** The answer to one exchange. */
-    private final class Answer implements Caller {
+    private final class Answer implements Responder {
         private final HttpServerExchange exchange;
 
         Answer(HttpServerExchange exchange) {
@@ -812,25 +819,25 @@
         }
 
         @Override
-        public boolean present() {
+        public boolean isClientConnected() {
             return !hasLeft(exchange);
         }
 
         @Override
-        public String id() {
+        public String requestId() {
             return ClientListener.id(exchange);
         }
 
         @Override
-        public void served(byte[] answer) {
+        public void serve(byte[] answer) {
             loop.execute(() -> answer(exchange, 200, answer));
         }
 
         @Override
-        public void refused(Duration retryAfter) {
+        public void refuse(Duration retryAfter) {
             loop.execute(
                     () -> {
-                        ids.release(id());
+                        ids.release(requestId());
                         if (!retryAfter.isZero()) {
                             exchange.getResponseHeaders()
                                     .put(
@@ -843,7 +850,7 @@
         }
 
         @Override
-        public void failed() {
+        public void fail() {
             loop.execute(() -> answer(exchange, 502, new byte[0]));
         }
     }
--- a/src/main/java/cypressglade/http/LoadReport.java
+++ b/src/main/java/cypressglade/http/LoadReport.java
@@ -1,6 +1,6 @@
 package cypressglade.http;
 
-import cypressglade.core.NodeLink.Told;
+import cypressglade.core.NodeLink;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
@@ -25,13 +25,13 @@
     private static final Pattern DECIMAL = Pattern.compile("-?[0-9]{1,12}(\\.[0-9]{1,9})?");
 
     /** In the module's figures; the load by the names that the settings give, in their order. */
-    Told told(List<String> names) {
+    NodeLink.ResponseMetadata told(List<String> names) {
         double use = figure(volumeLoad);
         int used = Double.isNaN(use) || use < 0 ? 0 : (int) Math.min(MOST, Math.round(use) + 1);
         double others = figure(otherHosts);
         int byOthers =
                 Double.isNaN(others) || others < 0 ? 0 : (int) Math.min(MOST, Math.round(others));
-        return new Told(used, byOthers, load(names));
+        return new NodeLink.ResponseMetadata(used, byOthers, load(names));
     }
 
     private float[] load(List<String> names) {
--- a/src/main/java/cypressglade/http/NodeClient.java
+++ b/src/main/java/cypressglade/http/NodeClient.java
@@ -1,10 +1,9 @@
 package cypressglade.http;
 
+import cypressglade.core.MonotonicClock;
 import cypressglade.core.NodeDirectory;
 import cypressglade.core.NodeLink;
-import cypressglade.core.NodeLink.Told;
 import cypressglade.core.Scheduler.Status;
-import cypressglade.core.Time;
 import cypressglade.net.NodePool;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -55,13 +54,13 @@
             HttpWork work,
             Instant until,
             BooleanSupplier wanted,
-            Consumer<Ending> ended) {
+            Consumer<NodeLink.AttemptResult> ended) {
         return new HttpExchange(node, work::message, until, wanted, ended).start();
     }
 
     @Override
-    public void probe(long node, Consumer<Ending> ended) {
-        Instant until = Time.now().plus(NodePool.PROBE_LIMIT);
+    public void probe(long node, Consumer<NodeLink.AttemptResult> ended) {
+        Instant until = MonotonicClock.now().plus(NodePool.PROBE_LIMIT);
         new HttpExchange(node, left -> HttpWork.probe(), until, () -> true, ended).start();
     }
 
@@ -75,13 +74,13 @@
                 Function<Duration, List<ByteBuffer>> message,
                 Instant until,
                 BooleanSupplier wanted,
-                Consumer<Ending> ended) {
+                Consumer<NodeLink.AttemptResult> ended) {
             pool.super(node, until, wanted, ended);
             this.message = message;
         }
 
         @Override
-        protected Optional<InetSocketAddress> address(NodeDirectory.Known known) {
+        protected Optional<InetSocketAddress> address(NodeDirectory.ListedNode known) {
             return Optional.of(known.address());
         }
 
@@ -116,8 +115,10 @@
         }
 
         @Override
-        protected Told told() {
-            return parser.whole() ? parser.report().told(loadNames) : Told.NOTHING;
+        protected NodeLink.ResponseMetadata told() {
+            return parser.whole()
+                    ? parser.report().told(loadNames)
+                    : NodeLink.ResponseMetadata.NOTHING;
         }
 
         private Status status() {
--- a/src/main/java/cypressglade/http/RequestParser.java
+++ b/src/main/java/cypressglade/http/RequestParser.java
@@ -69,7 +69,7 @@
         longestMs =
                 settings.classes().stream()
                         .map(RequestClass::deadlineUs)
-                        .map(Micros::span)
+                        .map(Micros::toDuration)
                         .mapToLong(Duration::toMillis)
                         .max()
                         .orElse(MOST_MS);
--- a/src/main/java/cypressglade/http/TraceIds.java
+++ b/src/main/java/cypressglade/http/TraceIds.java
@@ -1,6 +1,6 @@
 package cypressglade.http;
 
-import cypressglade.core.Time;
+import cypressglade.core.MonotonicClock;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.Iterator;
@@ -43,7 +43,7 @@
 
     /** Drops what is over. */
     void sweep() {
-        Instant now = Time.now();
+        Instant now = MonotonicClock.now();
         until.values().removeIf(end -> end.isBefore(now));
     }
 }
--- a/src/main/java/cypressglade/learn/Learner.java
+++ b/src/main/java/cypressglade/learn/Learner.java
@@ -1,6 +1,6 @@
 package cypressglade.learn;
 
-import cypressglade.core.NodeFact;
+import cypressglade.core.NodeStatus;
 import cypressglade.core.Scheduler.NodeView;
 import java.time.Duration;
 import java.time.Instant;
@@ -113,12 +113,12 @@
     }
 
     /** Takes in the module's views: makes own words of them, and judges by them what was taught. */
-    public void own(List<NodeFact> facts, Instant now) {
+    public void own(List<NodeStatus> facts, Instant now) {
         counts.merge(Count.WORDS_AGED_OUT, (long) hearsay.forget(now), Long::sum);
         Map<String, Word> words = new LinkedHashMap<>();
-        for (NodeFact fact : facts) {
+        for (NodeStatus fact : facts) {
             NodeView view = fact.view();
-            String id = fact.known().id();
+            String id = fact.node().id();
             Word before = own.get(id);
             if (!view.guarded() && view.silent()) {
                 Duration silentFor =
@@ -145,15 +145,15 @@
         }
         words.values().removeIf(word -> word.age(now).compareTo(Trust.LIFE) > 0);
         own = words;
-        given.keySet().retainAll(facts.stream().map(fact -> fact.known().id()).toList());
+        given.keySet().retainAll(facts.stream().map(fact -> fact.node().id()).toList());
     }
 
     private static boolean seenSince(Instant then, NodeView view, Instant now) {
         return view.seenAgoUs() >= 0 && !now.minusNanos(view.seenAgoUs() * 1000).isBefore(then);
     }
 
-    private void judge(NodeFact fact) {
-        Given hint = given.get(fact.known().id());
+    private void judge(NodeStatus fact) {
+        Given hint = given.get(fact.node().id());
         NodeView view = fact.view();
         if (hint == null || hint.judged() || view.guarded()) {
             return;
@@ -174,7 +174,7 @@
         while (standing.size() > MOST_ORIGINS) {
             standing.remove(standing.keySet().iterator().next());
         }
-        given.put(fact.known().id(), new Given(hint.taught(), hint.at(), true));
+        given.put(fact.node().id(), new Given(hint.taught(), hint.at(), true));
     }
 
     private double standing(Origin origin) {
@@ -182,7 +182,7 @@
     }
 
     /** What the module is to be told now; each call counts as told. */
-    public List<Taught> hints(List<NodeFact> facts, Instant now) {
+    public List<Taught> hints(List<NodeStatus> facts, Instant now) {
         double average =
                 hearsay.all()
                         .filter(word -> !word.silent())
@@ -190,8 +190,8 @@
                         .average()
                         .orElse(START_PACE_US);
         List<Taught> hints = new ArrayList<>();
-        for (NodeFact fact : facts) {
-            String id = fact.known().id();
+        for (NodeStatus fact : facts) {
+            String id = fact.node().id();
             if (!fact.view().ready() || hearsay.of(id).isEmpty()) {
                 continue;
             }
--- a/src/main/java/cypressglade/nbd/NbdListener.java
+++ b/src/main/java/cypressglade/nbd/NbdListener.java
@@ -1,13 +1,13 @@
 package cypressglade.nbd;
 
-import cypressglade.core.Caller;
 import cypressglade.core.Counters;
 import cypressglade.core.Engine;
 import cypressglade.core.IoRequest;
 import cypressglade.core.NodeDirectory;
 import cypressglade.core.NodeLink;
-import cypressglade.core.RequestLife;
 import cypressglade.core.RequestPool;
+import cypressglade.core.RequestTask;
+import cypressglade.core.Responder;
 import cypressglade.core.Scheduler.Settings;
 import cypressglade.nbd.NbdConfig.Export;
 import cypressglade.net.Listening;
@@ -111,7 +111,7 @@
         return leaving
                 || export.isPresent()
                         && export.get().extents().stream()
-                                .anyMatch(extent -> directory.draining(extent.shard()));
+                                .anyMatch(extent -> directory.isDraining(extent.shard()));
     }
 
     void left(Wire wire) {
@@ -119,7 +119,7 @@
     }
 
     boolean drains(int shard) {
-        return leaving || directory.draining(shard);
+        return leaving || directory.isDraining(shard);
     }
 
     boolean refusesCommands() {
@@ -147,12 +147,12 @@
         loop.execute(task);
     }
 
-    RequestLife<NbdWork> life(
-            IoRequest request, NbdWork work, Caller caller, NodeLink<NbdWork> way) {
-        return new RequestLife<>(engine, counters, request, work, caller, way);
+    RequestTask<NbdWork> life(
+            IoRequest request, NbdWork work, Responder caller, NodeLink<NbdWork> way) {
+        return new RequestTask<>(engine, counters, request, work, caller, way);
     }
 
-    boolean start(RequestLife<NbdWork> life) {
+    boolean start(RequestTask<NbdWork> life) {
         return pool.start(life);
     }
 }
--- a/src/main/java/cypressglade/nbd/NbdNodeLink.java
+++ b/src/main/java/cypressglade/nbd/NbdNodeLink.java
@@ -1,9 +1,9 @@
 package cypressglade.nbd;
 
+import cypressglade.core.MonotonicClock;
 import cypressglade.core.NodeDirectory;
 import cypressglade.core.NodeLink;
 import cypressglade.core.Scheduler.Status;
-import cypressglade.core.Time;
 import cypressglade.net.NodePool;
 import cypressglade.net.Wire;
 import java.io.IOException;
@@ -35,7 +35,7 @@
     }
 
     /** Whether a node is one of this front's. */
-    public boolean speaksTo(Optional<NodeDirectory.Known> node) {
+    public boolean speaksTo(Optional<NodeDirectory.ListedNode> node) {
         return node.isPresent() && config.nodes().containsKey(node.get().id());
     }
 
@@ -45,16 +45,18 @@
             NbdWork work,
             Instant until,
             BooleanSupplier wanted,
-            Consumer<Ending> ended) {
+            Consumer<NodeLink.AttemptResult> ended) {
         if (work.onlyNode() != NbdWork.ANY_NODE && work.onlyNode() != node) {
-            ended.accept(Ending.of(Status.MOOT)); // the node that wrote is not there any more
+            ended.accept(
+                    NodeLink.AttemptResult.withoutResponse(
+                            Status.MOOT)); // the node that wrote is not there any more
             return () -> {};
         }
         return new Command(node, work, until, wanted, ended).start();
     }
 
     @Override
-    public void probe(long node, Consumer<Ending> ended) {
+    public void probe(long node, Consumer<NodeLink.AttemptResult> ended) {
         new Handshake(node, ended).start();
     }
 
@@ -67,13 +69,13 @@
                 NbdConfig.Export export,
                 Instant until,
                 BooleanSupplier wanted,
-                Consumer<Ending> ended) {
+                Consumer<NodeLink.AttemptResult> ended) {
             pool.super(node, until, wanted, ended);
             this.export = export;
         }
 
         @Override
-        protected Optional<InetSocketAddress> address(NodeDirectory.Known known) {
+        protected Optional<InetSocketAddress> address(NodeDirectory.ListedNode known) {
             return Optional.ofNullable(config.nodes().get(known.id()));
         }
 
@@ -98,7 +100,7 @@
                 NbdWork work,
                 Instant until,
                 BooleanSupplier wanted,
-                Consumer<Ending> ended) {
+                Consumer<NodeLink.AttemptResult> ended) {
             super(node, work.export(), until, wanted, ended);
             this.work = work;
             synchronized (NbdNodeLink.this) {
@@ -130,11 +132,11 @@
 
     /** A sign of life: a whole handshake, after which the connection is left in the proper way. */
     private final class Handshake extends NbdExchange {
-        Handshake(long node, Consumer<Ending> ended) {
+        Handshake(long node, Consumer<NodeLink.AttemptResult> ended) {
             super(
                     node,
                     config.exports().get(0),
-                    Time.now().plus(NodePool.PROBE_LIMIT),
+                    MonotonicClock.now().plus(NodePool.PROBE_LIMIT),
                     () -> true,
                     ended);
         }
--- a/src/main/java/cypressglade/nbd/Transmission.java
+++ b/src/main/java/cypressglade/nbd/Transmission.java
@@ -1,12 +1,12 @@
 package cypressglade.nbd;
 
-import cypressglade.core.Caller;
 import cypressglade.core.IoRequest;
 import cypressglade.core.Micros;
+import cypressglade.core.MonotonicClock;
 import cypressglade.core.NodeLink;
-import cypressglade.core.RequestLife;
+import cypressglade.core.RequestTask;
+import cypressglade.core.Responder;
 import cypressglade.core.Scheduler.Settings;
-import cypressglade.core.Time;
 import cypressglade.nbd.NbdConfig.Export;
 import cypressglade.net.Wire;
 import java.io.IOException;
@@ -41,7 +41,7 @@
     private final Export export;
     private final boolean structured;
     private final Pieces pieces = new Pieces();
-    private final Set<RequestLife<NbdWork>> lives = new HashSet<>();
+    private final Set<RequestTask<NbdWork>> lives = new HashSet<>();
     private final Set<Reached> written = new HashSet<>();
     private ByteBuffer stash = ByteBuffer.allocate(0);
     private int open;
@@ -70,7 +70,7 @@
     @Override
     public void ended() {
         over = true;
-        lives.forEach(RequestLife::clientGone);
+        lives.forEach(RequestTask::clientDisconnected);
         front.left(wire);
     }
 
@@ -176,8 +176,10 @@
             requestClass =
                     type == Nbd.CMD_READ ? front.config().readClass() : front.config().writeClass();
             expiry =
-                    Time.now()
-                            .plus(Micros.span(settings.classes().get(requestClass).deadlineUs()))
+                    MonotonicClock.now()
+                            .plus(
+                                    Micros.toDuration(
+                                            settings.classes().get(requestClass).deadlineUs()))
                             .minus(MARGIN);
         }
 
@@ -322,12 +324,12 @@
     }
 
     /** The caller of one part. */
-    private final class Part implements Caller {
+    private final class Part implements Responder {
         private final Command command;
         private final int shard;
         private final int at;
         private final NbdWork work;
-        private RequestLife<NbdWork> life;
+        private RequestTask<NbdWork> life;
 
         Part(Command command, int shard, int at, NbdWork work) {
             this.command = command;
@@ -337,7 +339,7 @@
         }
 
         @Override
-        public void served(byte[] answer) {
+        public void serve(byte[] answer) {
             front.execute(
                     () -> {
                         System.arraycopy(answer, 0, command.data, at, answer.length);
@@ -346,12 +348,12 @@
         }
 
         @Override
-        public void refused(Duration retryAfter) {
+        public void refuse(Duration retryAfter) {
             front.execute(() -> ended(front.drains(shard) ? Nbd.ESHUTDOWN : Nbd.EIO));
         }
 
         @Override
-        public void failed() {
+        public void fail() {
             front.execute(() -> ended(Nbd.EIO));
         }
 
@@ -380,7 +382,7 @@
                 NbdWork work,
                 Instant until,
                 BooleanSupplier wanted,
-                Consumer<Ending> ended) {
+                Consumer<NodeLink.AttemptResult> ended) {
             return front.link()
                     .send(
                             node,
@@ -398,7 +400,7 @@
         }
 
         @Override
-        public void probe(long node, Consumer<Ending> ended) {
+        public void probe(long node, Consumer<NodeLink.AttemptResult> ended) {
             front.link().probe(node, ended);
         }
     }
--- a/src/main/java/cypressglade/net/NodePool.java
+++ b/src/main/java/cypressglade/net/NodePool.java
@@ -1,12 +1,12 @@
 package cypressglade.net;
 
 import cypressglade.core.Counters;
+import cypressglade.core.MonotonicClock;
 import cypressglade.core.NodeDirectory;
 import cypressglade.core.NodeLink;
 import cypressglade.core.NodeLink.Attempt;
-import cypressglade.core.NodeLink.Ending;
+import cypressglade.core.NodeLink.ResponseMetadata;
 import cypressglade.core.Scheduler.Status;
-import cypressglade.core.Time;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -112,7 +112,7 @@
      */
     private Optional<Wire> takeIdle(String use, Instant nodeStarted) {
         ArrayDeque<Idle> kept = idle.getOrDefault(use, new ArrayDeque<>());
-        Instant oldest = Time.now().minus(idleLimit);
+        Instant oldest = MonotonicClock.now().minus(idleLimit);
         while (!kept.isEmpty()) {
             Idle last = kept.pollLast();
             if (last.since.isBefore(oldest) || last.since.isBefore(nodeStarted)) {
@@ -142,7 +142,7 @@
     }
 
     private void sweep() {
-        Instant oldest = Time.now().minus(idleLimit);
+        Instant oldest = MonotonicClock.now().minus(idleLimit);
         for (ArrayDeque<Idle> kept : idle.values()) {
             // Nothing more goes to a node that drains or is gone: its connections are of no use to
             // anyone.
@@ -150,7 +150,7 @@
                     .filter(
                             one ->
                                     one.since.isBefore(oldest)
-                                            || directory.ready(one.node).isEmpty())
+                                            || directory.findReady(one.node).isEmpty())
                     .forEach(Idle::discard);
         }
         idle.values().removeIf(ArrayDeque::isEmpty);
@@ -177,12 +177,12 @@
         private final long node;
         private final Instant until;
         private final BooleanSupplier wanted;
-        private final Consumer<Ending> ended;
+        private final Consumer<NodeLink.AttemptResult> ended;
         private String use;
         private Loop.Dial dial;
         private Wire wire;
         private XnioExecutor.Key limit;
-        private Instant opened = Time.now();
+        private Instant opened = MonotonicClock.now();
         private boolean begun;
         private int heard;
         private Instant lastHeard = opened;
@@ -190,7 +190,10 @@
         private boolean over;
 
         protected Exchange(
-                long node, Instant until, BooleanSupplier wanted, Consumer<Ending> ended) {
+                long node,
+                Instant until,
+                BooleanSupplier wanted,
+                Consumer<NodeLink.AttemptResult> ended) {
             this.node = node;
             this.until = until;
             this.wanted = wanted;
@@ -198,7 +201,7 @@
         }
 
         /** Where the node listens on this wire, for what is written in the directory. */
-        protected abstract Optional<InetSocketAddress> address(NodeDirectory.Known known);
+        protected abstract Optional<InetSocketAddress> address(NodeDirectory.ListedNode known);
 
         /** What sets connections to one address apart, where they are not all alike. */
         protected String purpose() {
@@ -235,8 +238,8 @@
         protected void over() {}
 
         /** What the answer told beside itself; nothing where it was not read whole. */
-        protected NodeLink.Told told() {
-            return NodeLink.Told.NOTHING;
+        protected ResponseMetadata told() {
+            return ResponseMetadata.NOTHING;
         }
 
         /** Starts it; returns at once. */
@@ -246,8 +249,8 @@
         }
 
         private void open() {
-            opened = Time.now();
-            Optional<NodeDirectory.Known> known = directory.ready(node);
+            opened = MonotonicClock.now();
+            Optional<NodeDirectory.ListedNode> known = directory.findReady(node);
             Optional<InetSocketAddress> address = known.flatMap(this::address);
             use = address.map(this::use).orElse("");
             Optional<Status> heldBack = heldBack();
@@ -255,7 +258,7 @@
                 holdBack(heldBack.get());
                 return;
             }
-            Optional<Wire> kept = takeIdle(use, known.orElseThrow().runsSince());
+            Optional<Wire> kept = takeIdle(use, known.orElseThrow().monotonicStart());
             if (kept.isPresent()) {
                 wire = kept.get();
                 begin();
@@ -267,7 +270,7 @@
             }
             connections++;
             counters.add(Counters.Name.CONNECTIONS_OPENED);
-            Duration left = Time.until(until);
+            Duration left = MonotonicClock.until(until);
             boolean requestFirst = left.compareTo(connectLimit) < 0;
             limit(
                     requestFirst ? left : connectLimit,
@@ -300,11 +303,11 @@
          * may be up, or the client may have left. The last two say nothing of the node.
          */
         private Optional<Status> heldBack() {
-            if (Time.until(until).isZero() || !wanted.getAsBoolean()) {
+            if (MonotonicClock.until(until).isZero() || !wanted.getAsBoolean()) {
                 return Optional.of(Status.MOOT);
             }
             return directory
-                            .ready(node)
+                            .findReady(node)
                             .flatMap(this::address)
                             .map(this::use)
                             .filter(use::equals)
@@ -324,7 +327,7 @@
                 holdBack(heldBack.get());
                 return;
             }
-            Duration left = Time.until(until);
+            Duration left = MonotonicClock.until(until);
             begun = true;
             limit(left, Status.TIMEOUT);
             wire.listen(this);
@@ -374,7 +377,7 @@
          * lately in the heap.
          */
         private void watchSilence(Duration most) {
-            lastHeard = Time.now();
+            lastHeard = MonotonicClock.now();
             if (silence == null) {
                 silence = loop.after(most, () -> silent(most));
             }
@@ -382,7 +385,7 @@
 
         private void silent(Duration most) {
             silence = null;
-            Duration quiet = Duration.between(lastHeard, Time.now());
+            Duration quiet = Duration.between(lastHeard, MonotonicClock.now());
             if (quiet.compareTo(most) < 0) {
                 silence = loop.after(most.minus(quiet), () -> silent(most));
                 return;
@@ -448,9 +451,10 @@
             } else if (dial != null) {
                 dial.cancel();
             }
-            Duration took = Duration.between(opened, Time.now()).minus(loop.lateness());
-            Ending ending =
-                    Ending.read(status, answer(), told(), took.isNegative() ? Duration.ZERO : took);
+            Duration took = Duration.between(opened, MonotonicClock.now()).minus(loop.lateness());
+            NodeLink.AttemptResult ending =
+                    NodeLink.AttemptResult.fromResponse(
+                            status, answer(), told(), took.isNegative() ? Duration.ZERO : took);
             over();
             ended.accept(ending);
         }
--- a/src/main/java/cypressglade/net/Wire.java
+++ b/src/main/java/cypressglade/net/Wire.java
@@ -1,6 +1,6 @@
 package cypressglade.net;
 
-import cypressglade.core.Time;
+import cypressglade.core.MonotonicClock;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.time.Instant;
@@ -20,7 +20,7 @@
     private boolean closed;
     private boolean closeWhenSent;
     private boolean blocked;
-    private Instant used = Time.now();
+    private Instant used = MonotonicClock.now();
 
     /** Hears what comes. */
     public interface Listener {
@@ -121,7 +121,7 @@
                 int before = first.remaining();
                 int wrote = connection.getSinkChannel().write(first);
                 unsent -= before - first.remaining();
-                used = Time.now();
+                used = MonotonicClock.now();
                 if (first.hasRemaining() && wrote == 0) {
                     blocked = true;
                     connection.getSinkChannel().resumeWrites();
@@ -156,7 +156,7 @@
                     over(listener::ended);
                     return;
                 }
-                used = Time.now();
+                used = MonotonicClock.now();
                 listener.received(input.flip());
             }
         } catch (IOException reset) {
--- a/src/main/java/cypressglade/operate/HandDrains.java
+++ b/src/main/java/cypressglade/operate/HandDrains.java
@@ -1,8 +1,8 @@
 package cypressglade.operate;
 
-import cypressglade.core.NodeFact;
 import cypressglade.core.NodeList;
 import cypressglade.core.NodeList.Entry;
+import cypressglade.core.NodeStatus;
 import cypressglade.core.Scheduler.State;
 import java.time.Instant;
 import java.util.Collection;
@@ -133,7 +133,7 @@
 
     /** Whether {@code one} is another node of the entry's cell, and ready. */
     private boolean standsIn(Entry one, Entry entry) {
-        return one.cell() == entry.cell()
+        return one.shard() == entry.shard()
                 && !one.id().equals(entry.id())
                 && held(one).state() == State.READY;
     }
@@ -146,7 +146,7 @@
                         entry.address(),
                         entry.zone(),
                         entry.kind(),
-                        entry.cell(),
+                        entry.shard(),
                         State.DRAINING,
                         entry.weight(),
                         entry.started())
@@ -171,7 +171,7 @@
                         return new Result(
                                 Kind.ONLY_NODE,
                                 entry.id(),
-                                List.of(Integer.toString(entry.cell())));
+                                List.of(Integer.toString(entry.shard())));
                     }
                     drains.put(
                             entry.id(),
@@ -349,11 +349,11 @@
      * Takes in the views: a drain is done when nothing is out or held there. Returns the newly
      * done.
      */
-    public synchronized List<HandDrain> seen(List<NodeFact> facts) {
+    public synchronized List<HandDrain> seen(List<NodeStatus> facts) {
         Set<String> busy =
                 facts.stream()
                         .filter(fact -> fact.view().outUnits() > 0 || fact.view().held() > 0)
-                        .map(fact -> fact.known().id())
+                        .map(fact -> fact.node().id())
                         .collect(Collectors.toSet());
         List<HandDrain> done =
                 drains.values().stream()
--- a/src/main/java/cypressglade/operate/Picture.java
+++ b/src/main/java/cypressglade/operate/Picture.java
@@ -1,6 +1,6 @@
 package cypressglade.operate;
 
-import cypressglade.core.NodeFact;
+import cypressglade.core.NodeStatus;
 import cypressglade.core.Scheduler.Load;
 import java.time.Instant;
 import java.util.List;
@@ -8,7 +8,7 @@
 /** What a scheduler looked like at one time; never changes after. */
 public record Picture(
         Instant at,
-        List<NodeFact> nodes,
+        List<NodeStatus> nodes,
         List<String> classes,
         Load load,
         List<HandDrain> drains) {}
--- a/src/main/java/cypressglade/peer/PeerReport.java
+++ b/src/main/java/cypressglade/peer/PeerReport.java
@@ -1,6 +1,6 @@
 package cypressglade.peer;
 
-import cypressglade.core.Time;
+import cypressglade.core.MonotonicClock;
 import cypressglade.learn.Word;
 import cypressglade.member.Member;
 import cypressglade.net.Loop;
@@ -38,7 +38,10 @@
         CompletableFuture<PeerReport> done = new CompletableFuture<>();
         PeerReport report =
                 new PeerReport(
-                        new ArrayList<>(), new ArrayList<>(), new LinkedHashMap<>(), Time.now());
+                        new ArrayList<>(),
+                        new ArrayList<>(),
+                        new LinkedHashMap<>(),
+                        MonotonicClock.now());
         try (Loop loop = new Loop()) {
             new TransferClient(
                             loop, Optional.empty(), Runnable::run, new SecureRandom(), () -> keys)
--- a/src/main/java/cypressglade/peer/Peers.java
+++ b/src/main/java/cypressglade/peer/Peers.java
@@ -1,12 +1,12 @@
 package cypressglade.peer;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import cypressglade.core.Asked;
 import cypressglade.core.Counters;
 import cypressglade.core.Counters.Name;
+import cypressglade.core.DemandTracker;
 import cypressglade.core.Engine;
-import cypressglade.core.NodeFact;
-import cypressglade.core.Time;
+import cypressglade.core.MonotonicClock;
+import cypressglade.core.NodeStatus;
 import cypressglade.fleet.View;
 import cypressglade.learn.Learner;
 import cypressglade.learn.Origin;
@@ -163,7 +163,7 @@
                 () ->
                         sharing.ifPresent(
                                 kept -> {
-                                    say(kept.give(subject, word, Time.now()), "verdict");
+                                    say(kept.give(subject, word, MonotonicClock.now()), "verdict");
                                     keepVerdicts(kept);
                                 }));
     }
@@ -211,7 +211,7 @@
 
     /** Loads what the first transfer needs, so that the wait for a peer is not spent on that. */
     private void warm() throws IOException {
-        Instant now = Time.now();
+        Instant now = MonotonicClock.now();
         Word word = new Word("warm", 0, 1, 0, 0, 0, 0, Duration.ZERO, now, learner.self());
         try {
             byte[] body =
@@ -250,7 +250,8 @@
                         said.complete(
                                 view.map(
                                         kept -> {
-                                            ObjectNode whole = kept.whole(swim, Time.now());
+                                            ObjectNode whole =
+                                                    kept.whole(swim, MonotonicClock.now());
                                             sharing.ifPresent(
                                                     shared -> SharedLines.add(whole, shared));
                                             return whole.toString();
@@ -285,7 +286,7 @@
                 () -> {
                     closed = true;
                     if (swim != null) {
-                        swim.leave(Time.now());
+                        swim.leave(MonotonicClock.now());
                     }
                     byte[] body = body();
                     disk.execute(
@@ -354,7 +355,7 @@
                         .map(listen -> new InetSocketAddress(listen.getAddress(), 0));
         client = new TransferClient(loop, local, this::execute, random, () -> keys);
         census = new Census(config.name(), CENSUS_HOLD);
-        Instant now = Time.now();
+        Instant now = MonotonicClock.now();
         swim =
                 new Swim(
                         new Member(config.name(), at, life, 0, Member.State.ALIVE),
@@ -371,7 +372,7 @@
                                         new Sharing<>(
                                                 config.name(),
                                                 terms,
-                                                engine.coldSpan(),
+                                                engine.coldWindow(),
                                                 recallVerdicts(),
                                                 random,
                                                 new Shared(terms),
@@ -382,7 +383,7 @@
                     if (pulls.isEmpty()) {
                         learned.countDown(); // nobody to learn from
                     }
-                    repeat(() -> swim.tick(Time.now()), swim::due);
+                    repeat(() -> swim.tick(MonotonicClock.now()), swim::due);
                     sharing.ifPresent(this::begin);
                 });
         owner.scheduleWithFixedDelay(
@@ -395,7 +396,7 @@
     private void begin(Sharing<InetSocketAddress> kept) {
         kept.begin();
         // past the edge of its window
-        repeat(() -> tick(kept), () -> kept.due(Time.now()).plusMillis(1));
+        repeat(() -> tick(kept), () -> kept.due(MonotonicClock.now()).plusMillis(1));
     }
 
     private void tick(Sharing<InetSocketAddress> kept) {
@@ -404,7 +405,7 @@
                         .collect(
                                 Collectors.toMap(
                                         Member::name, Member::address, (one, other) -> one));
-        kept.tick(present, Time.now());
+        kept.tick(present, MonotonicClock.now());
     }
 
     /** Both sockets have one port; where it is any, the one that TCP got may be taken on UDP. */
@@ -429,7 +430,8 @@
      * Looks, and plans the next look; also where this one had a fault, as it must not be the last.
      */
     private void repeat(Runnable look, Supplier<Instant> due) {
-        Instant next = Time.now().plus(LOOK); // after a fault, which may come again at once
+        Instant next =
+                MonotonicClock.now().plus(LOOK); // after a fault, which may come again at once
         try {
             look.run();
             next = due.get();
@@ -437,7 +439,7 @@
             if (!closed) {
                 owner.schedule(
                         guarded(() -> repeat(look, due)),
-                        Math.max(1, Time.until(next).toMillis()),
+                        Math.max(1, MonotonicClock.until(next).toMillis()),
                         TimeUnit.MILLISECONDS);
             }
         }
@@ -446,7 +448,7 @@
     /** Asks the module what it knows, and tells it what it does not. */
     private void look() {
         shortAnswers = 0;
-        engine.views(facts -> execute(() -> seen(facts)));
+        engine.readNodes(facts -> execute(() -> seen(facts)));
         recount();
     }
 
@@ -455,16 +457,16 @@
         members = swim == null ? List.of() : List.copyOf(swim.list());
         view.ifPresent(kept -> kept.retain(members));
         if (swim != null && config.talk().get().shareCold()) {
-            Census.Share next = census.count(swim.list(), Time.now());
+            Census.Share next = census.count(swim.list(), MonotonicClock.now());
             if (!next.equals(share)) {
                 share = next;
-                engine.share(next.rank(), next.heads());
+                engine.setInstances(next.rank(), next.heads());
             }
         }
     }
 
-    private void seen(List<NodeFact> facts) {
-        Instant now = Time.now();
+    private void seen(List<NodeStatus> facts) {
+        Instant now = MonotonicClock.now();
         learner.own(facts, now);
         learner.hints(facts, now).forEach(taught -> engine.hint(taught.node(), taught::hint));
         publish();
@@ -510,8 +512,8 @@
 
                     @Override
                     public void came(Transfer frame) {
-                        swim.merge(frame.members(), Time.now());
-                        learner.take(frame.words(), Time.now());
+                        swim.merge(frame.members(), MonotonicClock.now());
+                        learner.take(frame.words(), MonotonicClock.now());
                         sharing.ifPresent(kept -> kept.take(frame.verdicts()));
                         publish();
                     }
@@ -524,7 +526,7 @@
                         LOG.log(Level.DEBUG, "transfer from {0}: {1}", from, fault);
                         // What came goes to the module before the doors open: its events are taken
                         // in order.
-                        engine.views(
+                        engine.readNodes(
                                 facts ->
                                         execute(
                                                 () -> {
@@ -543,7 +545,7 @@
     }
 
     private List<byte[]> answer(byte[] question, long nonce) {
-        Instant now = Time.now();
+        Instant now = MonotonicClock.now();
         try {
             Transfer asked = Codec.transfer(Sealed.open(keys, question), now);
             if (asked.nonce() != nonce) {
@@ -644,7 +646,8 @@
                         put(from, kept);
                     }
                     envelope.message()
-                            .ifPresent(message -> swim.receive(message, from, Time.now()));
+                            .ifPresent(
+                                    message -> swim.receive(message, from, MonotonicClock.now()));
                     envelope.notice().ifPresent(notice -> receive(notice, from));
                 }
                 case UNKNOWN_LIFE -> {
@@ -729,7 +732,7 @@
         @Override
         public void granted(Grant grant) {
             Map<Long, Double> volumes = new HashMap<>();
-            Map<Asked.ColdNode, Double> cold = new HashMap<>();
+            Map<DemandTracker.ColdNode, Double> cold = new HashMap<>();
             grant.parts()
                     .forEach(
                             (key, part) -> {
@@ -739,13 +742,13 @@
                                     Key.run(key)
                                             .map(
                                                     run ->
-                                                            new Asked.ColdNode(
+                                                            new DemandTracker.ColdNode(
                                                                     run.id(), run.startedUs()))
                                             .ifPresent(node -> cold.put(node, part));
                                 }
                             });
-            engine.grant(
-                    new Engine.Granted(
+            engine.applyAllocation(
+                    new Engine.LimitAllocation(
                             volumes,
                             cold,
                             grant.rest(),
@@ -756,12 +759,12 @@
 
         @Override
         public void ask(long window) {
-            engine.demand(
+            engine.takeDemand(
                     demand -> {
                         Map<String, Double> wanted = new HashMap<>();
-                        demand.volumes()
+                        demand.unitsByVolume()
                                 .forEach((volume, units) -> wanted.put(Key.volume(volume), units));
-                        demand.cold()
+                        demand.unitsByColdNode()
                                 .forEach(
                                         (node, units) ->
                                                 wanted.put(
@@ -773,7 +776,10 @@
     }
 
     private void say(Verdict verdict, String what) {
-        LOG.log(Level.INFO, "{0}", SharedLines.verdict(config.name(), what, verdict, Time.now()));
+        LOG.log(
+                Level.INFO,
+                "{0}",
+                SharedLines.verdict(config.name(), what, verdict, MonotonicClock.now()));
     }
 
     private void keepVerdicts(Sharing<InetSocketAddress> kept) {
@@ -824,7 +830,7 @@
             LOG.log(
                     Level.INFO,
                     "{0}",
-                    view.map(kept -> kept.change(member, Time.now()))
+                    view.map(kept -> kept.change(member, MonotonicClock.now()))
                             .orElseGet(
                                     () ->
                                             "member "
@@ -837,7 +843,8 @@
 
         @Override
         public void refused(Member known, Member claim) {
-            String line = view.map(kept -> kept.refusal(known, claim, Time.now())).orElse("");
+            String line =
+                    view.map(kept -> kept.refusal(known, claim, MonotonicClock.now())).orElse("");
             if (!line.isEmpty()) {
                 LOG.log(Level.WARNING, "{0}", line);
             }
@@ -848,7 +855,9 @@
 
     private byte[] body() {
         return Codec.snapshot(
-                config.name(), learner.words(Time.now(), Codec.MOST_WORDS), Time.now());
+                config.name(),
+                learner.words(MonotonicClock.now(), Codec.MOST_WORDS),
+                MonotonicClock.now());
     }
 
     private void write(byte[] body) {
@@ -874,11 +883,11 @@
                                         config.snapshots().get().mostAge(),
                                         this::words,
                                         this::ignored))
-                .ifPresent(words -> learner.take(words, Time.now()));
+                .ifPresent(words -> learner.take(words, MonotonicClock.now()));
     }
 
     private List<Word> words(SnapshotStore.Found found) throws IOException {
-        return Codec.snapshot(found.body(), config.name(), found.age(), Time.now())
+        return Codec.snapshot(found.body(), config.name(), found.age(), MonotonicClock.now())
                 .orElseThrow(() -> new IOException("another instance's"));
     }
 }
--- a/src/main/java/cypressglade/peer/TransferClient.java
+++ b/src/main/java/cypressglade/peer/TransferClient.java
@@ -1,6 +1,6 @@
 package cypressglade.peer;
 
-import cypressglade.core.Time;
+import cypressglade.core.MonotonicClock;
 import cypressglade.member.Member;
 import cypressglade.net.Loop;
 import cypressglade.net.Wire;
@@ -123,7 +123,7 @@
 
         private void ask(long theirs) {
             nonce = random.nextLong();
-            asked = Time.now();
+            asked = MonotonicClock.now();
             byte[] question =
                     Sealed.seal(
                             keys.get(),
--- a/src/test/java/cypressglade/control/ControlTest.java
+++ b/src/test/java/cypressglade/control/ControlTest.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import cypressglade.cli.OperatorFiles;
 import cypressglade.core.Counters.Name;
-import cypressglade.core.Time;
+import cypressglade.core.MonotonicClock;
 import cypressglade.standin.HttpPeer;
 import cypressglade.standin.Site;
 import cypressglade.standin.StorageNode;
@@ -332,7 +332,7 @@
                                 directory.resolve("own"),
                                 PosixFilePermissions.asFileAttribute(
                                         PosixFilePermissions.fromString("rwx------"))));
-        Instant[] now = {Time.now()};
+        Instant[] now = {MonotonicClock.now()};
         try (ControlServer server =
                 new ControlServer(
                         own.socket(),
--- a/src/test/java/cypressglade/core/RequestLifeTest.java
+++ b/src/test/java/cypressglade/core/RequestTaskTest.java
@@ -3,7 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cypressglade.core.NodeLink.Attempt;
-import cypressglade.core.NodeLink.Ending;
 import cypressglade.core.Scheduler.Effect;
 import cypressglade.core.Scheduler.Limits;
 import cypressglade.core.Scheduler.Plan;
@@ -28,34 +27,35 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** One request through the core, with no wire at all. */
-class RequestLifeTest {
+class RequestTaskTest {
     private static final byte[] DATA = {1, 2, 3};
 
     private final Counters counters = new Counters();
     private final LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
-    private final LinkedBlockingQueue<Consumer<Ending>> sent = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<Consumer<NodeLink.AttemptResult>> sent =
+            new LinkedBlockingQueue<>();
     private final RequestPool pool = new RequestPool(2, 0, counters);
     private Engine engine;
     private volatile String answeredBy;
     private volatile boolean failing;
     private volatile BooleanSupplier wants;
 
-    private final Caller caller =
-            new Caller() {
+    private final Responder caller =
+            new Responder() {
                 @Override
-                public void served(byte[] answer) {
+                public void serve(byte[] answer) {
                     answeredBy = Thread.currentThread().getName();
                     answers.add("served " + answer.length);
                 }
 
                 @Override
-                public void refused(Duration retryAfter) {
+                public void refuse(Duration retryAfter) {
                     answeredBy = Thread.currentThread().getName();
                     answers.add("refused");
                 }
 
                 @Override
-                public void failed() {
+                public void fail() {
                     answers.add("failed");
                 }
             };
@@ -68,18 +68,19 @@
                         String work,
                         Instant until,
                         BooleanSupplier wanted,
-                        Consumer<Ending> ended) {
+                        Consumer<NodeLink.AttemptResult> ended) {
                     if (failing) {
                         throw new IllegalStateException("as an error of the machine would be");
                     }
                     wants = wanted;
                     sent.add(ended);
-                    return () -> ended.accept(Ending.of(Status.CANCELLED));
+                    return () ->
+                            ended.accept(NodeLink.AttemptResult.withoutResponse(Status.CANCELLED));
                 }
 
                 @Override
-                public void probe(long node, Consumer<Ending> ended) {
-                    ended.accept(Ending.of(Status.OK));
+                public void probe(long node, Consumer<NodeLink.AttemptResult> ended) {
+                    ended.accept(NodeLink.AttemptResult.withoutResponse(Status.OK));
                 }
             };
 
@@ -126,7 +127,7 @@
     void start() {
         engine = new Engine(settings(true), new NodeDirectory(), counters);
         engine.start(node -> link);
-        engine.told(
+        engine.updateNodes(
                 new NodeList(
                         1,
                         true,
@@ -148,11 +149,11 @@
         pool.close();
     }
 
-    private RequestLife<String> life(Duration time) {
-        return new RequestLife<>(
+    private RequestTask<String> life(Duration time) {
+        return new RequestTask<>(
                 engine,
                 counters,
-                new IoRequest(0, 0, 0, 1, false, true, 7, 8, 2, Time.now().plus(time)),
+                new IoRequest(0, 0, 0, 1, false, true, 7, 8, 2, MonotonicClock.now().plus(time)),
                 "work",
                 caller,
                 link);
@@ -172,9 +173,9 @@
         assertThat(sent.poll(5, TimeUnit.SECONDS)).as("an attempt is out").isNotNull();
         pool.stopAll();
         assertThat(answer()).isEqualTo("failed");
-        cypressglade.standin.Site.await(() -> pool.open() == 0);
+        cypressglade.standin.Site.await(() -> pool.openCount() == 0);
         assertThat(sent).as("nothing is sent after it").isEmpty();
-        assertThat(engine.log().text()).contains("stopped: an attempt was out");
+        assertThat(engine.requestLog().text()).contains("stopped: an attempt was out");
     }
 
     /** Guards against a client that gets no answer since the thread of its request fails. */
@@ -183,14 +184,14 @@
         failing = true;
         begin();
         assertThat(answer()).isEqualTo("failed");
-        cypressglade.standin.Site.await(() -> pool.open() == 0);
+        cypressglade.standin.Site.await(() -> pool.openCount() == 0);
     }
 
     private String answer() throws InterruptedException {
         return answers.poll(5, TimeUnit.SECONDS);
     }
 
-    private Consumer<Ending> attempt() throws InterruptedException {
+    private Consumer<NodeLink.AttemptResult> attempt() throws InterruptedException {
         return sent.poll(5, TimeUnit.SECONDS);
     }
 
@@ -214,7 +215,10 @@
     void eachOutcomeHasItsOneAnswer(Status status, String expected, int attempts) throws Exception {
         begin();
         for (int i = 0; i < attempts; i++) {
-            attempt().accept(new Ending(status, DATA, NodeLink.Told.NOTHING));
+            attempt()
+                    .accept(
+                            new NodeLink.AttemptResult(
+                                    status, DATA, NodeLink.ResponseMetadata.NOTHING));
         }
         assertThat(answer()).isEqualTo(expected);
         assertThat(answers).isEmpty();
@@ -238,18 +242,22 @@
     @Test
     void nodeStaysUsableAfterClientsLeftEarly() throws Exception {
         CountDownLatch left = new CountDownLatch(1);
-        engine.use(settings(false)); // no probe to wait for: the module orders an attempt at once
-        engine.views(
+        engine.applySettings(
+                settings(false)); // no probe to wait for: the module orders an attempt at once
+        engine.readNodes(
                 views ->
                         await(left)); // the module hears of none of them until all clients are gone
         for (int i = 0; i < 20; i++) {
-            RequestLife<String> life = life(Duration.ofSeconds(2));
+            RequestTask<String> life = life(Duration.ofSeconds(2));
             pool.start(life);
-            life.clientGone();
+            life.clientDisconnected();
         }
         left.countDown();
         begin();
-        attempt().accept(new Ending(Status.OK, DATA, NodeLink.Told.NOTHING));
+        attempt()
+                .accept(
+                        new NodeLink.AttemptResult(
+                                Status.OK, DATA, NodeLink.ResponseMetadata.NOTHING));
         assertThat(answer()).isEqualTo("served 3");
     }
 
@@ -258,15 +266,18 @@
      */
     @Test
     void anAttemptIsWantedNoMoreAsSoonAsItsClientLeaves() throws Exception {
-        RequestLife<String> life = life(Duration.ofSeconds(2));
+        RequestTask<String> life = life(Duration.ofSeconds(2));
         pool.start(life);
-        Consumer<Ending> ended = attempt();
+        Consumer<NodeLink.AttemptResult> ended = attempt();
         assertThat(wants.getAsBoolean()).isTrue();
-        life.clientGone();
+        life.clientDisconnected();
         assertThat(wants.getAsBoolean()).isFalse();
-        ended.accept(Ending.of(Status.MOOT));
+        ended.accept(NodeLink.AttemptResult.withoutResponse(Status.MOOT));
         begin();
-        attempt().accept(new Ending(Status.OK, DATA, NodeLink.Told.NOTHING));
+        attempt()
+                .accept(
+                        new NodeLink.AttemptResult(
+                                Status.OK, DATA, NodeLink.ResponseMetadata.NOTHING));
         assertThat(answer()).as("of the next request alone").isEqualTo("served 3");
         assertThat(answers).isEmpty();
     }
@@ -276,11 +287,14 @@
      */
     @Test
     void cancelOfNothingCountsAsNoAttempt() throws Exception {
-        RequestLife<String> life = life(Duration.ofSeconds(2));
-        life.signal(new RequestLife.Cancel(0));
+        RequestTask<String> life = life(Duration.ofSeconds(2));
+        life.signal(new RequestTask.Cancel(0));
         pool.start(life);
-        attempt().accept(Ending.of(Status.FULL));
-        attempt().accept(new Ending(Status.OK, DATA, NodeLink.Told.NOTHING));
+        attempt().accept(NodeLink.AttemptResult.withoutResponse(Status.FULL));
+        attempt()
+                .accept(
+                        new NodeLink.AttemptResult(
+                                Status.OK, DATA, NodeLink.ResponseMetadata.NOTHING));
         assertThat(answer()).isEqualTo("served 3");
     }
 
@@ -289,22 +303,32 @@
     void silentModuleIsMadeUpForByTheDeadline() throws Exception {
         engine.close();
         pool.start(life(Duration.ofMillis(20)));
-        pool.late(Time.now());
+        pool.expireOverdue(MonotonicClock.now());
         assertThat(answers).as("not before its time").isEmpty();
-        pool.late(Time.now().plusSeconds(1));
+        pool.expireOverdue(MonotonicClock.now().plusSeconds(1));
         assertThat(answer()).isEqualTo("failed");
-        assertThat(pool.open()).isZero();
+        assertThat(pool.openCount()).isZero();
         assertThat(counters.get(Counters.Name.ANSWERED_BY_DEADLINE)).isEqualTo(1);
     }
 
     /** A refusal is answered where it is decided: no thread is taken, started or waited for. */
     @Test
     void aRequestThatIsRefusedTakesNoThread() throws Exception {
-        RequestLife<String> unknown =
-                new RequestLife<>(
+        RequestTask<String> unknown =
+                new RequestTask<>(
                         engine,
                         counters,
-                        new IoRequest(0, 9, 0, 1, false, true, 7, 8, 2, Time.now().plusSeconds(2)),
+                        new IoRequest(
+                                0,
+                                9,
+                                0,
+                                1,
+                                false,
+                                true,
+                                7,
+                                8,
+                                2,
+                                MonotonicClock.now().plusSeconds(2)),
                         "work",
                         caller,
                         link);
@@ -312,7 +336,10 @@
         assertThat(answer()).isEqualTo("refused");
         assertThat(answeredBy).isEqualTo("engine");
         begin();
-        attempt().accept(new Ending(Status.OK, DATA, NodeLink.Told.NOTHING));
+        attempt()
+                .accept(
+                        new NodeLink.AttemptResult(
+                                Status.OK, DATA, NodeLink.ResponseMetadata.NOTHING));
         assertThat(answer()).isEqualTo("served 3");
         assertThat(answeredBy).isEqualTo("request");
     }
--- a/src/test/java/cypressglade/core/StartTimesTest.java
+++ b/src/test/java/cypressglade/core/StartTimeConverterTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A cold node stays cold, however the wall clock is stepped. */
-class StartTimesTest {
+class StartTimeConverterTest {
     private static final Instant NOW = Instant.parse("2026-12-02T09:20:16Z");
     private static final Duration AGE = Duration.ofSeconds(2);
 
-    private final StartTimes starts = new StartTimes();
+    private final StartTimeConverter starts = new StartTimeConverter();
 
     private Instant start(Instant told, Duration step) {
-        return starts.onOurClock("s-1", told, NOW, NOW.plus(step));
+        return starts.toMonotonic("s-1", told, NOW, NOW.plus(step));
     }
 
     @Test
--- a/src/test/java/cypressglade/http/ConnectionEndsTest.java
+++ b/src/test/java/cypressglade/http/ConnectionEndsTest.java
@@ -117,7 +117,7 @@
                             1 << 20,
                             List.of());
             engine.start(any -> nodes);
-            engine.told(config.known());
+            engine.updateNodes(config.known());
             ClientListener clients =
                     new ClientListener(
                             loop,
--- a/src/test/java/cypressglade/http/LoadReportTest.java
+++ b/src/test/java/cypressglade/http/LoadReportTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cypressglade.core.NodeLink.Told;
+import cypressglade.core.NodeLink;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -29,9 +29,9 @@
             99999 | 5    | 65535 | 5
             """)
     void useAndUnitsByOthers(String volumeLoad, String otherHosts, int used, int byOthers) {
-        Told told = new LoadReport(volumeLoad, otherHosts, "").told(NAMES);
-        assertThat(told.used()).isEqualTo(used);
-        assertThat(told.byOthers()).isEqualTo(byOthers);
+        NodeLink.ResponseMetadata told = new LoadReport(volumeLoad, otherHosts, "").told(NAMES);
+        assertThat(told.usePercentPlusOne()).isEqualTo(used);
+        assertThat(told.unitsByOthers()).isEqualTo(byOthers);
         assertThat(told.load()).isEmpty();
     }
 
--- a/src/test/java/cypressglade/http/NodeClientTest.java
+++ b/src/test/java/cypressglade/http/NodeClientTest.java
@@ -3,12 +3,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cypressglade.core.Counters;
+import cypressglade.core.MonotonicClock;
 import cypressglade.core.NodeDirectory;
-import cypressglade.core.NodeLink.Ending;
+import cypressglade.core.NodeLink;
 import cypressglade.core.NodeList;
 import cypressglade.core.Scheduler.State;
 import cypressglade.core.Scheduler.Status;
-import cypressglade.core.Time;
 import cypressglade.net.Loop;
 import cypressglade.net.NodePool;
 import cypressglade.standin.HttpPeer;
@@ -33,7 +33,7 @@
             "Volume-Load: 240\r\nOther-Hosts: 6\r\n"
                     + "Endpoint-Load-Metrics: TEXT queue=3, latency_ms=52.5\r\n";
 
-    private static Ending exchange(HttpPeer.Script script) throws Exception {
+    private static NodeLink.AttemptResult exchange(HttpPeer.Script script) throws Exception {
         NodeDirectory directory = new NodeDirectory();
         try (HttpPeer node = new HttpPeer(script);
                 Loop loop = new Loop()) {
@@ -60,7 +60,7 @@
                             Duration.ofSeconds(5),
                             4);
             NodeClient client = new NodeClient(pool, 1 << 20, List.of("queue", "latency_ms"));
-            CompletableFuture<Ending> ended = new CompletableFuture<>();
+            CompletableFuture<NodeLink.AttemptResult> ended = new CompletableFuture<>();
             client.send(
                     1,
                     new HttpWork(
@@ -69,7 +69,7 @@
                             "t-1",
                             Optional.empty(),
                             new byte[0]),
-                    Time.now().plusSeconds(5),
+                    MonotonicClock.now().plusSeconds(5),
                     () -> true,
                     ended::complete);
             return ended.get(5, TimeUnit.SECONDS);
@@ -78,26 +78,27 @@
 
     @Test
     void aServedAnswerTellsUseUnitsByOthersAndLoad() throws Exception {
-        Ending ending = exchange(HttpPeer.answer(200, TOLD, "entry"));
+        NodeLink.AttemptResult ending = exchange(HttpPeer.answer(200, TOLD, "entry"));
         assertThat(ending.status()).isEqualTo(Status.OK);
         assertThat(new String(ending.answer(), java.nio.charset.StandardCharsets.US_ASCII))
                 .isEqualTo("entry");
-        assertThat(ending.told().used()).isEqualTo(241);
-        assertThat(ending.told().byOthers()).isEqualTo(6);
-        assertThat(ending.told().load()).containsExactly(3f, 52.5f);
+        assertThat(ending.metadata().usePercentPlusOne()).isEqualTo(241);
+        assertThat(ending.metadata().unitsByOthers()).isEqualTo(6);
+        assertThat(ending.metadata().load()).containsExactly(3f, 52.5f);
     }
 
     @Test
     void anAnswerTurnedAwayTellsTooButCarriesNoBody() throws Exception {
-        Ending ending = exchange(HttpPeer.answer(503, "X-Never-Ran: 1\r\n" + TOLD, "full"));
+        NodeLink.AttemptResult ending =
+                exchange(HttpPeer.answer(503, "X-Never-Ran: 1\r\n" + TOLD, "full"));
         assertThat(ending.status()).isEqualTo(Status.FULL);
         assertThat(ending.answer()).isEmpty();
-        assertThat(ending.told().used()).isEqualTo(241);
+        assertThat(ending.metadata().usePercentPlusOne()).isEqualTo(241);
     }
 
     @Test
     void anAnswerCutShortTellsNothing() throws Exception {
-        Ending ending =
+        NodeLink.AttemptResult ending =
                 exchange(
                         (request, out) -> {
                             HttpPeer.write(
@@ -108,15 +109,15 @@
                             throw new IOException("cut");
                         });
         assertThat(ending.status()).isNotEqualTo(Status.OK);
-        assertThat(ending.told().used()).isZero();
-        assertThat(ending.told().load()).isEmpty();
+        assertThat(ending.metadata().usePercentPlusOne()).isZero();
+        assertThat(ending.metadata().load()).isEmpty();
     }
 
     /** An answer with no length is whole where its connection ends, and not where that is reset. */
     @ParameterizedTest
     @CsvSource({"false,OK", "true,RESET"})
     void onlyAnOrderlyEndEndsAnAnswerWithoutALength(boolean reset, Status status) throws Exception {
-        Ending ending =
+        NodeLink.AttemptResult ending =
                 exchange(
                         (request, out) -> {
                             HttpPeer.write(
--- a/src/test/java/cypressglade/http/RequestParserTest.java
+++ b/src/test/java/cypressglade/http/RequestParserTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cypressglade.config.Config;
-import cypressglade.core.Time;
+import cypressglade.core.MonotonicClock;
 import io.undertow.util.HeaderMap;
 import io.undertow.util.HttpString;
 import java.nio.file.Path;
@@ -27,7 +27,7 @@
                         .put(RequestParser.TRACE_ID, "1")
                         .put(new HttpString("X-Expires-In-Ms"), told)
                         .put(new HttpString("IO-Info"), "units=1,shard=0,hosts=1");
-        Instant now = Time.now();
+        Instant now = MonotonicClock.now();
         assertThat(
                         Duration.between(
                                 now,
--- a/src/test/java/cypressglade/http/TraceIdsTest.java
+++ b/src/test/java/cypressglade/http/TraceIdsTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cypressglade.core.Time;
+import cypressglade.core.MonotonicClock;
 import java.time.Duration;
 import java.time.Instant;
 import org.junit.jupiter.api.Test;
@@ -10,7 +10,7 @@
 /** Ids that must not be taken twice, in a bounded table. */
 class TraceIdsTest {
     private final TraceIds ids = new TraceIds();
-    private final Instant late = Time.now().plus(Duration.ofSeconds(20));
+    private final Instant late = MonotonicClock.now().plus(Duration.ofSeconds(20));
 
     @Test
     void anOpenIdIsNotTakenTwiceAndAReleasedOneIs() {
--- a/src/test/java/cypressglade/learn/LearnerTest.java
+++ b/src/test/java/cypressglade/learn/LearnerTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cypressglade.core.NodeDirectory.Known;
-import cypressglade.core.NodeFact;
+import cypressglade.core.NodeDirectory;
+import cypressglade.core.NodeStatus;
 import cypressglade.core.Scheduler.NodeView;
 import cypressglade.core.Scheduler.State;
 import cypressglade.learn.Learner.Count;
@@ -41,7 +41,7 @@
                 origin);
     }
 
-    private static NodeFact fact(
+    private static NodeStatus fact(
             boolean guarded,
             boolean silent,
             long startedUs,
@@ -49,8 +49,8 @@
             int answers,
             Duration seenAgo) {
         long ago = seenAgo == null ? -1 : seenAgo.toNanos() / 1000;
-        return new NodeFact(
-                new Known(
+        return new NodeStatus(
+                new NodeDirectory.ListedNode(
                         "s-1",
                         new InetSocketAddress("127.0.0.1", 1),
                         0,
@@ -77,11 +77,11 @@
                         Double.MAX_VALUE));
     }
 
-    private static NodeFact unseen() {
+    private static NodeStatus unseen() {
         return fact(false, false, 0, 13_000, 0, null);
     }
 
-    private List<Taught> hints(NodeFact fact) {
+    private List<Taught> hints(NodeStatus fact) {
         return learner.hints(List.of(fact), NOW);
     }
 
@@ -165,7 +165,7 @@
     @CsvSource({"100, false, 0", "1900, false, 0", "2100, false, 1", "0, true, 0"})
     void ownSightBeatsHearsay(int seenAgoMs, boolean silent, int hints) {
         learner.take(List.of(word(OTHER, !silent, 0, Duration.ZERO)), NOW);
-        NodeFact fact = fact(false, silent, 0, PACE, 20, Duration.ofMillis(seenAgoMs));
+        NodeStatus fact = fact(false, silent, 0, PACE, 20, Duration.ofMillis(seenAgoMs));
         assertThat(hints(fact)).hasSize(hints);
         assertThat(hints(fact)).isEmpty();
     }
@@ -225,7 +225,7 @@
                         32,
                         0,
                         0);
-        assertThat(hints(new NodeFact(unseen().known(), drained))).isEmpty();
+        assertThat(hints(new NodeStatus(unseen().node(), drained))).isEmpty();
         assertThat(learner.hints(List.of(), NOW)).isEmpty();
         assertThat(hints(unseen())).hasSize(1);
     }
@@ -263,7 +263,7 @@
         NodeView probed =
                 new NodeView(
                         1, 0, true, false, false, 0, PACE, 0, 0, 0, 0, -1, 10_000, 0, 32, 0, 0);
-        learner.own(List.of(new NodeFact(unseen().known(), probed)), NOW.plusSeconds(4));
+        learner.own(List.of(new NodeStatus(unseen().node(), probed)), NOW.plusSeconds(4));
         assertThat(learner.words(NOW.plusSeconds(4), 10)).isEmpty();
     }
 
--- a/src/test/java/cypressglade/net/NodePoolTest.java
+++ b/src/test/java/cypressglade/net/NodePoolTest.java
@@ -3,12 +3,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cypressglade.core.Counters;
+import cypressglade.core.MonotonicClock;
 import cypressglade.core.NodeDirectory;
-import cypressglade.core.NodeLink.Ending;
+import cypressglade.core.NodeLink;
 import cypressglade.core.NodeList;
 import cypressglade.core.Scheduler.State;
 import cypressglade.core.Scheduler.Status;
-import cypressglade.core.Time;
 import cypressglade.standin.StandIn;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
@@ -53,18 +53,21 @@
                 }
             };
 
-    private Ending exchange(NodePool pool, long number, Duration time, Consumer<Runnable> prepares)
+    private NodeLink.AttemptResult exchange(
+            NodePool pool, long number, Duration time, Consumer<Runnable> prepares)
             throws Exception {
-        CompletableFuture<Ending> ended = new CompletableFuture<>();
+        CompletableFuture<NodeLink.AttemptResult> ended = new CompletableFuture<>();
         NodePool.Exchange exchange =
-                pool.new Exchange(number, Time.now().plus(time), () -> wanted, ended::complete) {
+                pool
+                .new Exchange(
+                        number, MonotonicClock.now().plus(time), () -> wanted, ended::complete) {
                     @Override
                     protected void prepare(Wire fresh, Runnable ready, Runnable unusable) {
                         prepares.accept(ready);
                     }
 
                     @Override
-                    protected Optional<InetSocketAddress> address(NodeDirectory.Known known) {
+                    protected Optional<InetSocketAddress> address(NodeDirectory.ListedNode known) {
                         return Optional.of(known.address());
                     }
 
@@ -220,7 +223,7 @@
                                             0,
                                             State.READY,
                                             1,
-                                            Time.now()))));
+                                            MonotonicClock.now()))));
             assertThat(exchange(pool, 1, LONG, Runnable::run).status()).isEqualTo(Status.OK);
             assertThat(node.connections).hasValue(2);
         }
--- a/src/test/java/cypressglade/operate/HandDrainsTest.java
+++ b/src/test/java/cypressglade/operate/HandDrainsTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cypressglade.core.NodeDirectory.Known;
-import cypressglade.core.NodeFact;
+import cypressglade.core.NodeDirectory;
 import cypressglade.core.NodeList;
 import cypressglade.core.NodeList.Entry;
+import cypressglade.core.NodeStatus;
 import cypressglade.core.Scheduler.NodeView;
 import cypressglade.core.Scheduler.State;
 import cypressglade.operate.HandDrains.Kind;
@@ -157,9 +157,10 @@
         assertThat(drains.undrain(order("s-1", false)).kind()).isEqualTo(Kind.ALREADY);
     }
 
-    private static NodeFact fact(String id, double outUnits, int held) {
-        return new NodeFact(
-                new Known(id, AT, 0, State.DRAINING, Instant.EPOCH, Instant.EPOCH),
+    private static NodeStatus fact(String id, double outUnits, int held) {
+        return new NodeStatus(
+                new NodeDirectory.ListedNode(
+                        id, AT, 0, State.DRAINING, Instant.EPOCH, Instant.EPOCH),
                 new NodeView(
                         1, 0, false, false, false, 0, 1, 0, 0, 0, 0, -1, -1, outUnits, 0, held, 0));
     }
--- a/src/test/java/cypressglade/peer/LearningMeasure.java
+++ b/src/test/java/cypressglade/peer/LearningMeasure.java
@@ -4,8 +4,8 @@
 import cypressglade.config.Config;
 import cypressglade.core.Counters;
 import cypressglade.core.Engine;
+import cypressglade.core.MonotonicClock;
 import cypressglade.core.NodeDirectory;
-import cypressglade.core.Time;
 import cypressglade.lab.MemberNet;
 import cypressglade.learn.Origin;
 import cypressglade.learn.Word;
@@ -268,7 +268,7 @@
     /** A thousand nodes, from the connect to the last word checked. */
     private void transfer() throws Exception {
         Path directory = Files.createTempDirectory("learned");
-        Instant now = Time.now();
+        Instant now = MonotonicClock.now();
         List<Word> words = IntStream.range(0, 1000).mapToObj(i -> word(i, now)).toList();
         new SnapshotStore(directory, "learned")
                 .write(Codec.snapshot("full", words, now), Instant.now());
@@ -325,13 +325,13 @@
             Transfer asked =
                     new Transfer(
                             Frames.nonce(frame), 5, 4096, true, List.of(), List.of(), Map.of());
-            byte[] sealed = Sealed.seal(keys, Codec.bytes(asked, Time.now()));
+            byte[] sealed = Sealed.seal(keys, Codec.bytes(asked, MonotonicClock.now()));
             socket.getOutputStream().write(Frames.frame(sealed).array());
             long bytes = 0;
             for (boolean last = false; !last; ) {
                 frame = in.readNBytes(in.readInt());
                 bytes += Integer.BYTES + frame.length;
-                last = Codec.transfer(Sealed.open(keys, frame), Time.now()).last();
+                last = Codec.transfer(Sealed.open(keys, frame), MonotonicClock.now()).last();
             }
             return bytes;
         }
--- a/src/test/java/cypressglade/peer/PeersTest.java
+++ b/src/test/java/cypressglade/peer/PeersTest.java
@@ -6,7 +6,7 @@
 
 import cypressglade.cli.OperatorFiles;
 import cypressglade.core.Counters.Name;
-import cypressglade.core.Time;
+import cypressglade.core.MonotonicClock;
 import cypressglade.learn.Origin;
 import cypressglade.learn.Word;
 import cypressglade.member.Member;
@@ -217,7 +217,7 @@
             frame(out, Frames.nonce(42));
             byte[] question = new byte[in.readInt()];
             in.readFully(question);
-            Instant now = Time.now();
+            Instant now = MonotonicClock.now();
             Transfer asked = Codec.transfer(Sealed.open(keys, question), now);
             Word word = word("s-1", way.equals("lies") ? Double.NaN : 5000, now, "z", 1);
             byte[] first =
