--- a/src/main/java/cypressglade/core/Counters.java
+++ b/src/main/java/cypressglade/core/Counters.java
@@ -5,20 +5,34 @@
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
 
-/** What the program took in, sent and answered, by outcome. */
+/**
+ * Event counters since the start of the process: requests received, attempts sent, answers by
+ * outcome, and traffic with other instances. Safe for use by several threads.
+ */
 public final class Counters {
-    /** The names, in the order in which they are printed. */
+    /** The counters, in the order in which they are printed; printed in lower case. */
     public enum Name {
+        /** Well-formed requests that a front handed to the core. */
         TAKEN,
+        /** Requests rejected because they could not be parsed or were too large. */
         MALFORMED,
+        /** Requests rejected because the bound on open requests, bodies or threads was reached. */
         REFUSED_NO_ROOM,
+        /** Requests whose body was not complete when their header had been read. */
         BODIES_AWAITED,
+        /** Requests whose client disconnected before the answer. */
         GONE,
+        /** Requests answered with a node's answer. */
         ANSWERED_SERVED,
+        /** Requests answered as refused: not done, safe to send again. */
         ANSWERED_REFUSED,
+        /** Requests answered as failed: they may have taken effect. */
         ANSWERED_FAILED,
+        /** Requests failed because the scheduling policy gave no order by their deadline. */
         ANSWERED_BY_DEADLINE,
+        /** Attempts handed to a link. */
         SENT,
+        /** Attempts that ended with {@link Scheduler.Status#OK}; the next seven likewise. */
         ENDED_OK,
         ENDED_ERROR,
         ENDED_FULL,
@@ -27,31 +41,57 @@
         ENDED_RESET,
         ENDED_CANCELLED,
         ENDED_MOOT,
+        /** Attempts that a link ended without sending their first byte. */
         HELD_BACK_AT_NODE,
+        /** Attempts whose answer could not be parsed. */
         SPOILT,
+        /** Node connections closed because bytes followed a whole answer. */
         STRAY_BYTES,
+        /** Probes sent to nodes. */
         PROBES,
+        /** Connections opened to nodes. */
         CONNECTIONS_OPENED,
+        /** Node lists and changes of them that the scheduling policy has processed. */
         LISTS,
+        /** Discovery watches that broke. */
         WATCH_BROKEN,
+        /** Configuration reloads that took effect. */
         RELOADS,
+        /** Configuration reloads that were rejected. */
         RELOADS_REJECTED,
+        /** Exceptions thrown while the engine handled an event. */
         MODULE_FAULTS,
+        /** Peer observations passed to the scheduling policy. */
         HINTS_TAKEN,
+        /** Peer observations dropped because of their age. */
         HINTS_AGED_OUT,
+        /** Peer observations that this instance's own answers confirmed. */
         HINTS_CONFIRMED,
+        /** Peer observations that this instance's own answers contradicted. */
         HINTS_CONTRADICTED,
+        /** Observations received from other instances and stored. */
         WORDS_TAKEN,
+        /** Observations received from other instances and not stored. */
         WORDS_REFUSED,
+        /** Datagrams received on the peer port. */
         PEER_MESSAGES,
+        /** Peer messages that failed verification. */
         PEER_REFUSED,
+        /** Messages and other work of the peer thread dropped because its queue was full. */
         PEER_DROPPED,
+        /** State transfers served to other instances. */
         TRANSFERS_SERVED,
+        /** State transfers received whole from other instances. */
         TRANSFERS_TAKEN,
+        /** State transfers from other instances that broke off. */
         TRANSFERS_BROKEN,
+        /** Snapshots written. */
         SNAPSHOTS_WRITTEN,
+        /** Snapshots that could not be written. */
         SNAPSHOTS_FAILED,
+        /** Snapshots found unusable when they were read. */
         SNAPSHOTS_IGNORED,
+        /** The storm detector's count of the same name, as are the next five. */
         STORM_DAMPINGS,
         STORM_SLOTS_GIVEN,
         STORM_SLOTS_KEPT,
@@ -76,7 +116,7 @@
         counts.get(name).add(count);
     }
 
-    /** Counts how an attempt ended. */
+    /** Counts the end of one attempt under the {@code ENDED_} counter of its status. */
     public void countAttemptEnd(Scheduler.Status status) {
         add(Name.valueOf("ENDED_" + status.name()));
     }
@@ -85,7 +125,7 @@
         return counts.get(name).sum();
     }
 
-    /** One line a counter. */
+    /** All counters, one line each: the lower-case name, a space, the count. */
     public String text() {
         StringBuilder text = new StringBuilder();
         counts.forEach(
--- a/src/main/java/cypressglade/core/DemandTracker.java
+++ b/src/main/java/cypressglade/core/DemandTracker.java
@@ -7,66 +7,71 @@
 import java.util.Map;
 
 /**
- * Units that this instance was asked for, of what the schedulers of a fleet share: by volume under
- * a limit, and by shard. Kept from the first {@link #takeDemand} on, and by the engine's thread
- * alone.
+ * Sums the cost units that clients requested from this instance, for the limits that the instances
+ * share: by volume with a rate limit, and by shard. Nothing is summed before the first {@link
+ * #takeDemand}. Owned by the engine thread; not safe for use by other threads.
  */
 public final class DemandTracker {
     /**
-     * Volumes and shards beyond that are not reckoned: their requests still go by the part of the
-     * rest.
+     * Bounds the memory of each map. Demand on further volumes and shards is not summed; their
+     * requests still run under the share of the volumes that are not named.
      */
-    private static final int MOST = 4096;
+    private static final int MAX_KEYS = 4096;
 
-    private final Map<Long, Double> volumes = new HashMap<>();
-    private final Map<Integer, Double> shards = new HashMap<>();
-    private boolean kept;
+    private final Map<Long, Double> unitsByVolume = new HashMap<>();
+    private final Map<Integer, Double> unitsByShard = new HashMap<>();
+    private boolean isTracking;
 
     DemandTracker() {}
 
     /**
-     * Demand since the last look.
+     * Demand since the previous call of {@link #takeDemand}.
      *
-     * @param unitsByVolume units by volume
-     * @param unitsByColdNode units by cold node
+     * @param unitsByVolume requested cost units, by the number of the volume
+     * @param unitsByColdNode requested cost units of the node's shard, by cold node
      */
     public record Demand(Map<Long, Double> unitsByVolume, Map<ColdNode, Double> unitsByColdNode) {}
 
-    /** A cold node: its id, and its start in microseconds of the epoch. */
+    /**
+     * One run of a cold node.
+     *
+     * @param id the node's id in the node list
+     * @param startedUs when its process started, in microseconds since the epoch
+     */
     public record ColdNode(String id, long startedUs) {}
 
-    void add(Request request, boolean limited) {
-        if (kept && limited) {
-            add(volumes, request.volume(), request.units());
+    void add(Request request, boolean hasRateLimit) {
+        if (isTracking && hasRateLimit) {
+            add(unitsByVolume, request.volume(), request.units());
         }
-        if (kept && request.shard() >= 0) {
-            add(shards, request.shard(), request.units());
+        if (isTracking && request.shard() >= 0) {
+            add(unitsByShard, request.shard(), request.units());
         }
     }
 
-    private static <K> void add(Map<K, Double> to, K key, double units) {
-        if (to.size() < MOST || to.containsKey(key)) {
-            to.merge(key, units, Double::sum);
+    private static <K> void add(Map<K, Double> sums, K key, double units) {
+        if (sums.size() < MAX_KEYS || sums.containsKey(key)) {
+            sums.merge(key, units, Double::sum);
         }
     }
 
     /**
-     * What was asked since the last call; cold are those nodes to which the module sends by their
-     * warmth.
+     * Returns the demand since the previous call and starts again from zero. Cold nodes are those
+     * that the scheduling policy sends only a limited load to.
      */
-    Demand takeDemand(List<NodeStatus> facts) {
-        kept = true;
-        Map<ColdNode, Double> cold = new HashMap<>();
-        facts.stream()
-                .filter(fact -> isCold(fact.view()))
+    Demand takeDemand(List<NodeStatus> nodes) {
+        isTracking = true;
+        Map<ColdNode, Double> unitsByColdNode = new HashMap<>();
+        nodes.stream()
+                .filter(status -> isCold(status.view()))
                 .forEach(
-                        fact ->
-                                cold.put(
-                                        coldNode(fact),
-                                        shards.getOrDefault(fact.view().shard(), 0.0)));
-        Demand demand = new Demand(Map.copyOf(volumes), cold);
-        volumes.clear();
-        shards.clear();
+                        status ->
+                                unitsByColdNode.put(
+                                        coldNode(status),
+                                        unitsByShard.getOrDefault(status.view().shard(), 0.0)));
+        Demand demand = new Demand(Map.copyOf(unitsByVolume), unitsByColdNode);
+        unitsByVolume.clear();
+        unitsByShard.clear();
         return demand;
     }
 
@@ -74,7 +79,7 @@
         return view.ready() && view.coldRoom() < Double.MAX_VALUE;
     }
 
-    static ColdNode coldNode(NodeStatus fact) {
-        return new ColdNode(fact.node().id(), fact.view().startedUs());
+    static ColdNode coldNode(NodeStatus status) {
+        return new ColdNode(status.node().id(), status.view().startedUs());
     }
 }
--- a/src/main/java/cypressglade/core/Engine.java
+++ b/src/main/java/cypressglade/core/Engine.java
@@ -1,5 +1,7 @@
 package cypressglade.core;
 
+import cypressglade.core.NodeLink.AttemptResult;
+import cypressglade.core.NodeLink.ResponseMetadata;
 import cypressglade.core.Scheduler.Actions;
 import cypressglade.core.Scheduler.Hint;
 import cypressglade.core.Scheduler.Load;
@@ -20,12 +22,14 @@
 import java.util.function.LongFunction;
 
 /**
- * Runs the decision module on one thread, which owns it, its timers and the table of open requests.
- * All others post events; what the module orders goes to the request's own task. Decides nothing.
+ * Runs the scheduling policy on one thread, which owns the policy, its timers, the table of open
+ * requests and the retry storm filter. The public methods are safe for use by several threads: they
+ * post events to that thread and return at once. The policy's orders are signaled to the tasks of
+ * the requests. The engine itself makes no scheduling decisions.
  */
 public final class Engine implements AutoCloseable {
     private static final float[] NO_LOAD = {};
-    private static final Duration GATE_LOOK = Duration.ofMillis(100);
+    private static final Duration STORM_CHECK_INTERVAL = Duration.ofMillis(100);
     private static final System.Logger LOG = System.getLogger(Engine.class.getName());
 
     private final Mailbox<Runnable> events = new Mailbox<>();
@@ -35,39 +39,51 @@
     private final NodeDirectory directory;
     private final Counters counters;
     private final Scheduler scheduler;
-    private final Duration coldSpan;
-    private final Optional<Terms> storms;
-    private final Optional<RetryStormFilter> gate;
-    private Instant gateLook = Instant.MAX;
-    private boolean saving;
+    private final Duration coldWindow;
+    private final Optional<Terms> stormSettings;
+    private final Optional<RetryStormFilter> stormFilter;
+    private Instant nextStormCheck = Instant.MAX;
+    private boolean isAttemptBudgetActive;
     private Settings settings;
-    private Share share = new Share(0, 0);
-    private final DemandTracker asked = new DemandTracker();
+    private InstancePosition position = new InstancePosition(0, 0);
+    private final DemandTracker demand = new DemandTracker();
     private final RequestLog log = new RequestLog();
-    private Optional<Engine.LimitAllocation> granted = Optional.empty();
+    private Optional<LimitAllocation> allocation = Optional.empty();
 
-    /**
-     * Processes that serve as this instance at once: two while an upgrade hands over, one
-     * otherwise.
-     */
-    private int beside = 1;
+    /** Processes that serve as this instance at once: two during an upgrade, one otherwise. */
+    private int processes = 1;
 
     private final Thread thread = new Thread(this::run, "engine");
     private Consumer<Probe> prober =
-            probe -> probe.ended(NodeLink.AttemptResult.withoutResponse(Status.CONNECT_FAILED));
+            probe -> probe.ended(AttemptResult.withoutResponse(Status.CONNECT_FAILED));
     private long lastId;
     private long lastTimer;
-    private volatile boolean closing;
+    private volatile boolean isClosing;
 
-    /** Which of how many instances this one is, where that is known better than by the settings. */
-    private record Share(int rank, int heads) {
-        /** Never a larger part than the settings give: on a limit the careful figure holds. */
-        Settings of(Settings told) {
-            return heads <= told.heads() ? told : told.among(rank, heads);
+    /**
+     * This instance's rank among the instances that peers report; 0 of 0 where none report any, so
+     * that the settings hold.
+     */
+    private record InstancePosition(int rank, int instances) {
+        /**
+         * The settings for this position. Never gives a larger share than the configured number of
+         * instances does, because a limit must hold even where peers are missed.
+         */
+        Settings apply(Settings configured) {
+            return instances <= configured.heads() ? configured : configured.among(rank, instances);
         }
     }
 
-    /** This instance's parts of what a fleet shares, until a time; of cold nodes by their run. */
+    /**
+     * This instance's shares, 0 to 1, of the limits that all instances keep together.
+     *
+     * @param shareByVolume shares of the rate limits of volumes
+     * @param shareByColdNode shares of what cold nodes may be sent, by run of the node
+     * @param otherVolumesShare for volumes that are not named
+     * @param otherColdNodesShare for cold nodes that are not named
+     * @param minShare the share of everything from {@code validUntil} on
+     * @param validUntil by {@link MonotonicClock}
+     */
     public record LimitAllocation(
             Map<Long, Double> shareByVolume,
             Map<DemandTracker.ColdNode, Double> shareByColdNode,
@@ -78,7 +94,7 @@
 
     private record Timer(Instant due, long number, long token) {}
 
-    /** A probe that the module ordered; its end is told once. */
+    /** A probe that the policy ordered; its end is reported exactly once. */
     private final class Probe {
         private final long node;
         private final Instant sent = MonotonicClock.now();
@@ -87,179 +103,208 @@
             this.node = node;
         }
 
-        private void ended(NodeLink.AttemptResult ending) {
+        private void ended(AttemptResult result) {
             long latency = Micros.of(Duration.between(sent, MonotonicClock.now()));
             post(
                     () ->
                             scheduler.probed(
                                     now(),
                                     node,
-                                    ending.status(),
+                                    result.status(),
                                     latency,
-                                    ending.metadata().load()));
+                                    result.metadata().load()));
         }
     }
 
+    /** Creates an engine that takes no measures against storms of client retries. */
     public Engine(Settings settings, NodeDirectory directory, Counters counters) {
         this(settings, directory, counters, Optional.empty());
     }
 
-    /** The same, with what is done about storms of second tries; off without. */
+    /**
+     * Creates an engine; {@link #start} starts its thread.
+     *
+     * @param stormSettings the measures against storms of client retries; empty turns them off
+     */
     public Engine(
-            Settings settings, NodeDirectory directory, Counters counters, Optional<Terms> storms) {
+            Settings settings,
+            NodeDirectory directory,
+            Counters counters,
+            Optional<Terms> stormSettings) {
         this.directory = directory;
         this.counters = counters;
         this.settings = settings;
-        this.coldSpan = Micros.toDuration(settings.limits().fallUs());
-        this.storms = storms;
-        this.gate =
-                storms.map(
+        this.coldWindow = Micros.toDuration(settings.limits().fallUs());
+        this.stormSettings = stormSettings;
+        this.stormFilter =
+                stormSettings.map(
                         terms ->
                                 new RetryStormFilter(
-                                        terms, settings, coldSpan, counters, MonotonicClock.now()));
+                                        terms,
+                                        settings,
+                                        coldWindow,
+                                        counters,
+                                        MonotonicClock.now()));
         this.scheduler = new Brain(now(), settings, new Orders());
         thread.setDaemon(true);
     }
 
-    /** Why requests ended as they did, for all who answer them. */
+    /** The log in which fronts and tasks record why requests ended as they did. */
     public RequestLog requestLog() {
         return log;
     }
 
-    /** Starts the thread; {@code links} names the link by which a node is probed. */
+    /**
+     * Starts the thread.
+     *
+     * @param links gives the link by which a node is probed, by the node's number
+     */
     public void start(LongFunction<NodeLink<?>> links) {
         prober = probe -> links.apply(probe.node).probe(probe.node, probe::ended);
-        gate.ifPresent(any -> gateLook = MonotonicClock.now());
+        stormFilter.ifPresent(any -> nextStormCheck = MonotonicClock.now());
         thread.start();
     }
 
     /**
-     * Takes the writes that were in doubt in the former life, or nothing where those are not known;
-     * to be called before the doors open.
+     * Restores the uncertain writes of the previous generation; empty where they are not known. To
+     * be called before {@link #start} and before the listeners open.
      *
-     * @throws IllegalArgumentException where these are no such bytes
+     * @throws IllegalArgumentException where the bytes are not a serialized set of uncertain writes
      */
-    public void restoreUncertainWrites(Optional<byte[]> former) {
-        gate.ifPresent(
-                kept ->
-                        kept.restoreUncertainWrites(
-                                former,
-                                MonotonicClock.now())); // before the thread starts, which owns it
+    public void restoreUncertainWrites(Optional<byte[]> previous) {
+        // On the caller's thread, as the engine thread, which owns the filter, has not started.
+        stormFilter.ifPresent(
+                filter -> filter.restoreUncertainWrites(previous, MonotonicClock.now()));
     }
 
-    /** Writes in doubt, for the next life; handed over on the engine's thread. */
-    public void readUncertainWrites(Consumer<byte[]> seen) {
-        gate.ifPresent(kept -> post(() -> seen.accept(kept.uncertainWrites(MonotonicClock.now()))));
+    /**
+     * Hands the uncertain writes, serialized for the next generation, to {@code reader} on the
+     * engine thread. Does nothing where the measures against storms are off.
+     */
+    public void readUncertainWrites(Consumer<byte[]> reader) {
+        stormFilter.ifPresent(
+                filter -> post(() -> reader.accept(filter.uncertainWrites(MonotonicClock.now()))));
     }
 
-    /** Takes new settings; what is open goes on under what it was taken with. */
+    /** Takes new settings; open requests keep what they were given under the previous ones. */
     public void applySettings(Settings next) {
         post(
                 () -> {
                     settings = next;
-                    gate.ifPresent(kept -> kept.applySettings(next));
-                    scheduler.use(inForce());
+                    stormFilter.ifPresent(filter -> filter.applySettings(next));
+                    scheduler.use(effectiveSettings());
                 });
     }
 
-    /** This instance is one of so many, which shares out what all together may send. */
-    public void setInstances(int rank, int heads) {
+    /** Sets this instance's rank among the instances that share the configured limits. */
+    public void setInstances(int rank, int instances) {
         post(
                 () -> {
-                    share = new Share(rank, heads);
-                    scheduler.use(inForce());
+                    position = new InstancePosition(rank, instances);
+                    scheduler.use(effectiveSettings());
                 });
     }
 
     /**
-     * So many processes serve as this instance at once, as while an upgrade hands over: each takes
-     * its part of the instance's limits, on volumes and on cold nodes, so that together they keep
-     * them.
+     * Sets how many processes serve as this instance at once, as during an upgrade. Each takes an
+     * equal share of the instance's limits on volumes and cold nodes, so that together they keep to
+     * them. Counts below 1 are taken as 1.
      */
-    public void setProcessCount(int processes) {
+    public void setProcessCount(int count) {
         post(
                 () -> {
-                    if (beside != Math.max(1, processes)) {
-                        beside = Math.max(1, processes);
-                        scheduler.use(inForce());
-                        grant();
+                    if (processes != Math.max(1, count)) {
+                        processes = Math.max(1, count);
+                        scheduler.use(effectiveSettings());
+                        reapplyAllocation();
                     }
                 });
     }
 
-    /** What was asked of this instance since the last call, handed over on the engine's thread. */
-    public void takeDemand(Consumer<DemandTracker.Demand> seen) {
-        post(() -> seen.accept(asked.takeDemand(directory.statuses(scheduler.views(now())))));
+    /** Hands the demand since the previous call to {@code reader} on the engine thread. */
+    public void takeDemand(Consumer<DemandTracker.Demand> reader) {
+        post(() -> reader.accept(demand.takeDemand(directory.statuses(scheduler.views(now())))));
     }
 
-    /** Takes the parts that hold from now on, in place of even ones. */
-    public void applyAllocation(Engine.LimitAllocation next) {
+    /** Takes the shares of the limits that hold from now on, in place of even shares. */
+    public void applyAllocation(LimitAllocation next) {
         post(
                 () -> {
-                    granted = Optional.of(next);
-                    grant();
+                    allocation = Optional.of(next);
+                    reapplyAllocation();
                 });
     }
 
-    private void grant() {
-        granted.ifPresent(this::divide);
+    private void reapplyAllocation() {
+        allocation.ifPresent(this::passAllocation);
     }
 
-    private void divide(Engine.LimitAllocation held) {
-        Map<Long, Double> cold = new HashMap<>();
+    private void passAllocation(LimitAllocation current) {
+        Map<Long, Double> shareByNode = new HashMap<>();
         directory.statuses(scheduler.views(now())).stream()
-                .filter(fact -> DemandTracker.isCold(fact.view()))
-                .forEach(fact -> cold.put(fact.view().node(), coldPart(held, fact)));
+                .filter(status -> DemandTracker.isCold(status.view()))
+                .forEach(
+                        status ->
+                                shareByNode.put(
+                                        status.view().node(), coldNodeShare(current, status)));
         scheduler.parts(
                 now(),
                 new Scheduler.Parts(
-                                held.shareByVolume(),
-                                cold,
-                                held.otherVolumesShare(),
-                                held.minShare(),
-                                Micros.of(held.validUntil()))
-                        .among(beside));
+                                current.shareByVolume(),
+                                shareByNode,
+                                current.otherVolumesShare(),
+                                current.minShare(),
+                                Micros.of(current.validUntil()))
+                        .among(processes));
     }
 
-    private static double coldPart(Engine.LimitAllocation held, NodeStatus fact) {
-        return held.shareByColdNode()
-                .getOrDefault(DemandTracker.coldNode(fact), held.otherColdNodesShare());
+    private static double coldNodeShare(LimitAllocation current, NodeStatus status) {
+        return current.shareByColdNode()
+                .getOrDefault(DemandTracker.coldNode(status), current.otherColdNodesShare());
     }
 
-    /** How long what was sent to a cold node counts, by the settings at the start. */
+    /**
+     * How long a request that was sent to a cold node counts against the node's limit, by the
+     * settings at the start.
+     */
     public Duration coldWindow() {
-        return coldSpan;
+        return coldWindow;
     }
 
-    private Settings inForce() {
+    private Settings effectiveSettings() {
         Settings shared =
-                saving
+                isAttemptBudgetActive
                         ? RetryStormFilter.withAttemptBudget(
-                                share.of(settings), storms.orElseThrow())
-                        : share.of(settings);
-        return beside == 1 ? shared : shared.among(shared.rank(), shared.heads() * beside);
+                                position.apply(settings), stormSettings.orElseThrow())
+                        : position.apply(settings);
+        return processes == 1 ? shared : shared.among(shared.rank(), shared.heads() * processes);
     }
 
     /**
-     * What is known of the nodes; handed over on the engine's thread, at a cost of one pass over
-     * them.
+     * Hands the state of the nodes that the policy knows to {@code reader} on the engine thread.
+     * Costs the engine one pass over the nodes.
      */
-    public void readNodes(Consumer<List<NodeStatus>> seen) {
-        post(() -> seen.accept(directory.statuses(scheduler.views(now()))));
+    public void readNodes(Consumer<List<NodeStatus>> reader) {
+        post(() -> reader.accept(directory.statuses(scheduler.views(now()))));
     }
 
-    /** What is known of the nodes and what is held, of one moment; as {@link #readNodes}. */
-    public void readStatus(BiConsumer<List<NodeStatus>, Load> seen) {
+    /**
+     * Hands the state of all listed nodes and of the queues, both at the same moment, to {@code
+     * reader} on the engine thread.
+     */
+    public void readStatus(BiConsumer<List<NodeStatus>, Load> reader) {
         post(
                 () ->
-                        seen.accept(
+                        reader.accept(
                                 directory.allStatuses(scheduler.views(now())),
                                 scheduler.load(now())));
     }
 
     /**
-     * Hands on what others know of a node, by its id; of one that is not in the list nothing is
-     * kept.
+     * Passes on what other instances know of a node; ignored where the node is not in the list.
+     *
+     * @param id id of the node
+     * @param hint makes the hint out of the node's number
      */
     public void hint(String id, LongFunction<Hint> hint) {
         post(
@@ -269,122 +314,129 @@
                                 .ifPresent(node -> scheduler.hint(now(), hint.apply(node))));
     }
 
-    /** Takes in what discovery told; it counts for the links at once. */
+    /** Applies a node list, or a change to it, that discovery reported; links see it at once. */
     public void updateNodes(NodeList list) {
         var entries = directory.update(list);
         post(
                 () -> {
                     scheduler.nodes(now(), NodeDirectory.listKind(list), entries);
-                    grant(); // a node that has come back is another cold one
-                    counters.add(
-                            Counters.Name
-                                    .LISTS); // so that who waits for it finds the module knowing
+                    // A node that has restarted is another cold node.
+                    reapplyAllocation();
+                    // Counted last: whoever waits for the count finds the policy up to date.
+                    counters.add(Counters.Name.LISTS);
                 });
     }
 
-    void submit(RequestTask<?> life, IoRequest request) {
+    void submit(RequestTask<?> task, IoRequest request) {
         post(
                 () -> {
-                    if (gate.isPresent()
-                            && gate.get().tryReject(life, request, MonotonicClock.now())) {
-                        save();
+                    if (stormFilter.isPresent()
+                            && stormFilter.get().tryReject(task, request, MonotonicClock.now())) {
+                        updateAttemptBudget();
                         return;
                     }
-                    life.id = ++lastId;
-                    open.put(life.id, life);
-                    Scheduler.Request taken = request.toSchedulerRequest(life.id, beside);
-                    asked.add(taken, limited(taken));
-                    scheduler.request(now(), taken);
+                    task.id = ++lastId;
+                    open.put(task.id, task);
+                    Scheduler.Request submitted = request.toSchedulerRequest(task.id, processes);
+                    demand.add(submitted, hasRateLimit(submitted));
+                    scheduler.request(now(), submitted);
                 });
     }
 
-    /** Follows the weather with the budget of further attempts. */
-    private void save() {
-        boolean next = gate.filter(RetryStormFilter::isAttemptBudgetActive).isPresent();
-        if (next != saving) {
-            saving = next;
-            scheduler.use(inForce());
+    /** Turns the budget of further attempts on or off as the storm detector's state asks for. */
+    private void updateAttemptBudget() {
+        boolean next = stormFilter.filter(RetryStormFilter::isAttemptBudgetActive).isPresent();
+        if (next != isAttemptBudgetActive) {
+            isAttemptBudgetActive = next;
+            scheduler.use(effectiveSettings());
         }
     }
 
-    private boolean limited(Scheduler.Request request) {
+    private boolean hasRateLimit(Scheduler.Request request) {
         return request.plan() < settings.plans().size()
                 && settings.plans().get(request.plan()).limitRate() > 0;
     }
 
     /**
-     * How the given attempt ended, and what its answer told; {@code over} where the request is
-     * finished with it.
+     * Reports how an attempt ended.
+     *
+     * @param attempt the attempt's number, from 0
+     * @param isOver whether the request has ended with it
      */
     void attemptEnded(
-            RequestTask<?> life,
+            RequestTask<?> task,
             int attempt,
             long node,
-            NodeLink.AttemptResult ending,
+            AttemptResult result,
             Duration latency,
-            boolean over) {
-        Status status = ending.status();
-        NodeLink.ResponseMetadata told = ending.metadata();
+            boolean isOver) {
+        Status status = result.status();
+        ResponseMetadata metadata = result.metadata();
         post(
                 () -> {
-                    life.ended++;
-                    life.mayHaveRun |= status.mayHaveRun;
-                    if (over) {
-                        open.remove(life.id);
+                    task.endedAttempts++;
+                    task.mayHaveRun |= status.mayHaveRun;
+                    if (isOver) {
+                        open.remove(task.id);
                         if (status == Status.OK) {
-                            gate.ifPresent(kept -> kept.served(life, MonotonicClock.now()));
+                            stormFilter.ifPresent(
+                                    filter -> filter.served(task, MonotonicClock.now()));
                         } else {
-                            gate.ifPresent(kept -> kept.recordNeverRan(life));
+                            stormFilter.ifPresent(filter -> filter.recordNeverRan(task));
                         }
                     }
                     scheduler.outcome(
                             now(),
                             new Outcome(
-                                    life.id,
+                                    task.id,
                                     attempt,
                                     node,
                                     status,
                                     Micros.of(latency),
-                                    over,
-                                    told.usePercentPlusOne(),
-                                    told.unitsByOthers(),
-                                    told.load()));
+                                    isOver,
+                                    metadata.usePercentPlusOne(),
+                                    metadata.unitsByOthers(),
+                                    metadata.load()));
                 });
     }
 
     /**
-     * The client of a request has gone; its task says so too, but may come to it only after the
-     * client's next try is here. What may have run by then is in doubt from now on.
+     * Reports that the client of a request disconnected; a write that may have run by then is
+     * uncertain from now on. The task reports it as well, by {@link #withdraw}, but may do so only
+     * after the client's retry has arrived.
      */
-    void clientDisconnected(RequestTask<?> life) {
-        gate.ifPresent(
-                kept ->
+    void clientDisconnected(RequestTask<?> task) {
+        stormFilter.ifPresent(
+                filter ->
                         post(
                                 () ->
-                                        kept.recordIfUncertain(
-                                                life,
-                                                life.ordered > life.ended,
+                                        filter.recordIfUncertain(
+                                                task,
+                                                task.orderedAttempts > task.endedAttempts,
                                                 MonotonicClock.now())));
     }
 
     /**
-     * Nothing is owed any more. Where no attempt is out, one may still have been ordered that its
-     * task will not make: it never ran, and the module must not wait for it.
+     * Ends a request that is owed no answer any more. Without an attempt in flight, one may still
+     * have been ordered that its task will not make: it is reported as never run, so that the
+     * policy does not wait for it.
      */
-    void withdraw(RequestTask<?> life, boolean attemptOut) {
+    void withdraw(RequestTask<?> task, boolean isInFlight) {
         post(
                 () -> {
-                    open.remove(life.id);
-                    gate.ifPresent(
-                            kept -> kept.recordIfUncertain(life, attemptOut, MonotonicClock.now()));
-                    scheduler.withdrawn(now(), life.id);
-                    if (!attemptOut && life.ordered > life.ended) {
+                    open.remove(task.id);
+                    stormFilter.ifPresent(
+                            filter ->
+                                    filter.recordIfUncertain(
+                                            task, isInFlight, MonotonicClock.now()));
+                    scheduler.withdrawn(now(), task.id);
+                    if (!isInFlight && task.orderedAttempts > task.endedAttempts) {
                         scheduler.outcome(
                                 now(),
                                 new Outcome(
-                                        life.id,
-                                        life.ordered - 1,
-                                        life.node,
+                                        task.id,
+                                        task.orderedAttempts - 1,
+                                        task.node,
                                         Status.MOOT,
                                         0,
                                         true,
@@ -404,62 +456,69 @@
     }
 
     private void run() {
-        while (!closing) {
+        while (!isClosing) {
             try {
                 Timer first = timers.peek();
-                Duration wait = first == null ? Mailbox.LONGEST : MonotonicClock.until(first.due());
-                Duration look = gate.isEmpty() ? Mailbox.LONGEST : MonotonicClock.until(gateLook);
-                Optional<Runnable> event = events.poll(look.compareTo(wait) < 0 ? look : wait);
-                if (event.isPresent()
-                        && !closing) { // it may win against the interrupt that ends the wait
+                Duration untilTimer =
+                        first == null ? Mailbox.MAX_WAIT : MonotonicClock.until(first.due());
+                Duration untilCheck =
+                        stormFilter.isEmpty()
+                                ? Mailbox.MAX_WAIT
+                                : MonotonicClock.until(nextStormCheck);
+                Optional<Runnable> event =
+                        events.poll(untilCheck.compareTo(untilTimer) < 0 ? untilCheck : untilTimer);
+                // The event may win against the interrupt by which close() ends the wait.
+                if (event.isPresent() && !isClosing) {
                     event.get().run();
                 }
                 while (!timers.isEmpty() && MonotonicClock.until(timers.peek().due()).isZero()) {
                     scheduler.timer(now(), timers.poll().token());
                 }
-                if (gate.isPresent() && MonotonicClock.until(gateLook).isZero()) {
-                    gateLook = MonotonicClock.now().plus(GATE_LOOK);
-                    gate.get().updateNodes(scheduler.views(now()), MonotonicClock.now());
-                    save();
+                if (stormFilter.isPresent() && MonotonicClock.until(nextStormCheck).isZero()) {
+                    nextStormCheck = MonotonicClock.now().plus(STORM_CHECK_INTERVAL);
+                    stormFilter.get().updateNodes(scheduler.views(now()), MonotonicClock.now());
+                    updateAttemptBudget();
                 }
-            } catch (InterruptedException end) {
+            } catch (InterruptedException interrupted) {
                 return;
             } catch (RuntimeException fault) {
-                // One faulty event must not take the others' answers: the task of its request still
-                // answers by the deadline.
+                // A fault in one event must not cost other requests their answers; the request of
+                // this event is still answered by its deadline.
                 counters.add(Counters.Name.MODULE_FAULTS);
-                LOG.log(System.Logger.Level.ERROR, "decision module", fault);
+                LOG.log(System.Logger.Level.ERROR, "the scheduling policy failed", fault);
             }
         }
     }
 
     @Override
     public void close() {
-        closing = true;
+        isClosing = true;
         thread.interrupt();
     }
 
-    /** What the module orders, on the engine's thread. */
+    /** Carries out the policy's orders, on the engine thread. */
     private final class Orders implements Actions {
         @Override
         public void send(long requestId, long node, long timeoutUs) {
-            RequestTask<?> life = open.get(requestId);
-            life.ordered++;
-            life.node = node;
-            life.firstSent = life.firstSent == null ? MonotonicClock.now() : life.firstSent;
-            life.signal(new RequestTask.Send(node, Micros.toDuration(timeoutUs)));
+            RequestTask<?> task = open.get(requestId);
+            task.orderedAttempts++;
+            task.node = node;
+            task.firstSent = task.firstSent == null ? MonotonicClock.now() : task.firstSent;
+            task.signal(new RequestTask.Send(node, Micros.toDuration(timeoutUs)));
         }
 
         @Override
         public void refuse(long requestId, long retryAfterUs) {
-            RequestTask<?> life = open.get(requestId);
+            RequestTask<?> task = open.get(requestId);
             Duration advice = Micros.toDuration(retryAfterUs);
             finish(
                     requestId,
                     new RequestTask.Refuse(
-                            life == null || gate.isEmpty()
+                            task == null || stormFilter.isEmpty()
                                     ? advice
-                                    : gate.get().refused(life, advice, MonotonicClock.now())));
+                                    : stormFilter
+                                            .get()
+                                            .refused(task, advice, MonotonicClock.now())));
         }
 
         @Override
@@ -469,7 +528,7 @@
 
         @Override
         public void cancel(long requestId, int attempt) {
-            tell(requestId, new RequestTask.Cancel(attempt));
+            signal(requestId, new RequestTask.Cancel(attempt));
         }
 
         @Override
@@ -489,7 +548,7 @@
 
         @Override
         public void tell(long toRank, byte[] text) {
-            throw new UnsupportedOperationException("schedulers have no way to talk to each other");
+            throw new UnsupportedOperationException("no channel to other schedulers");
         }
 
         @Override
@@ -497,18 +556,19 @@
             // Discovery is always watched.
         }
 
-        private void tell(long requestId, RequestTask.Signal signal) {
-            RequestTask<?> life = open.get(requestId);
-            if (life != null) {
-                life.signal(signal);
+        private void signal(long requestId, RequestTask.Signal signal) {
+            RequestTask<?> task = open.get(requestId);
+            if (task != null) {
+                task.signal(signal);
             }
         }
 
         private void finish(long requestId, RequestTask.Signal signal) {
-            tell(requestId, signal);
-            RequestTask<?> life = open.remove(requestId);
-            if (life != null) {
-                gate.ifPresent(kept -> kept.recordIfUncertain(life, false, MonotonicClock.now()));
+            signal(requestId, signal);
+            RequestTask<?> task = open.remove(requestId);
+            if (task != null) {
+                stormFilter.ifPresent(
+                        filter -> filter.recordIfUncertain(task, false, MonotonicClock.now()));
             }
         }
     }
--- a/src/main/java/cypressglade/core/IoRequest.java
+++ b/src/main/java/cypressglade/core/IoRequest.java
@@ -3,8 +3,21 @@
 import java.time.Instant;
 
 /**
- * What the core needs to know of a request, whichever wire it came by; {@code idempotencyToken}
- * stands for the key by which nodes drop its repeats, 0 where the client gave none.
+ * A client's request as the core needs it, independent of the front that received it.
+ *
+ * @param shard the shard that holds the data; {@link Scheduler#ANY_SHARD} where any node can serve
+ *     it
+ * @param requestClass index into {@link Scheduler.Settings#classes}
+ * @param plan index into {@link Scheduler.Settings#plans}
+ * @param instances how many schedulers the volume's requests are spread over, at least 1
+ * @param isRetry whether the client marks it as sent before
+ * @param write whether it changes data
+ * @param volume number of the volume
+ * @param key the data that the request touches, within the volume
+ * @param units cost units of the request
+ * @param expiry when the client stops waiting for the answer
+ * @param idempotencyToken stands for the key by which nodes drop repeats of the request; 0 where
+ *     the client gave none
  */
 public record IoRequest(
         int shard,
@@ -19,7 +32,7 @@
         Instant expiry,
         long idempotencyToken) {
 
-    /** One without a key. */
+    /** A request without an idempotency key. */
     public IoRequest(
             int shard,
             int requestClass,
@@ -34,7 +47,7 @@
         this(shard, requestClass, plan, instances, isRetry, write, volume, key, units, expiry, 0);
     }
 
-    /** The same, answered by a time at the latest. */
+    /** The same request with its expiry moved forward to {@code last} if it is later. */
     public IoRequest withDeadlineAtMost(Instant last) {
         return last.isAfter(expiry)
                 ? this
@@ -52,14 +65,19 @@
                         idempotencyToken);
     }
 
-    /** The module's form of it, where so many processes serve as this instance at once. */
-    Scheduler.Request toSchedulerRequest(long id, int beside) {
+    /**
+     * The scheduling policy's form of the request.
+     *
+     * @param id the engine's number of the request
+     * @param processes how many processes serve as this instance at once, at least 1
+     */
+    Scheduler.Request toSchedulerRequest(long id, int processes) {
         return new Scheduler.Request(
                 id,
                 shard,
                 requestClass,
                 plan,
-                instances * beside,
+                instances * processes,
                 isRetry,
                 write,
                 volume,
--- a/src/main/java/cypressglade/core/Mailbox.java
+++ b/src/main/java/cypressglade/core/Mailbox.java
@@ -6,41 +6,44 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * What others hand to one thread, in order. Guards against a wait that spins: one whose time runs
- * out while another thread is half way through waking it goes round in the JDK's conditions until
- * that other thread goes on, which it cannot where one thread runs at a time. Here nobody waits for
- * another's next step.
+ * A FIFO queue with any number of producers and one consumer, whose producers never block.
+ *
+ * <p>It replaces the blocking queues of the JDK because a timed wait on their conditions can spin:
+ * when the time runs out while another thread is halfway through the wake-up, the waiting thread
+ * loops until that thread goes on, which it cannot do where only one thread runs at a time. Here no
+ * thread waits for another one's next step.
  */
 final class Mailbox<T> {
-    /** For who has no time of its own to look again. */
-    static final Duration LONGEST = Duration.ofDays(1);
+    /** For a consumer that has no time of its own at which to check again. */
+    static final Duration MAX_WAIT = Duration.ofDays(1);
 
-    private final ConcurrentLinkedQueue<T> waiting = new ConcurrentLinkedQueue<>();
-    private volatile Thread taker;
+    private final ConcurrentLinkedQueue<T> items = new ConcurrentLinkedQueue<>();
+    private volatile Thread consumer;
 
-    /** Adds an item; any thread may, and none is held up. */
+    /** Adds an item; callable from any thread, never blocks. */
     void add(T item) {
-        waiting.add(item);
-        // set before the taker looks once more, so that one of the two sees the other
-        Thread asleep = taker;
-        if (asleep != null) {
-            LockSupport.unpark(asleep);
+        items.add(item);
+        // The consumer sets its field before it checks the queue once more, so either it sees the
+        // item or this thread sees the consumer.
+        Thread waiting = consumer;
+        if (waiting != null) {
+            LockSupport.unpark(waiting);
         }
     }
 
     /**
-     * The next item, waited for no longer than {@code most}; nothing where none came. One thread
-     * alone takes.
+     * Removes the next item, waiting up to {@code maxWait} for one; empty where none came. Only one
+     * thread may call it.
      *
      * @throws InterruptedException if the thread is interrupted while it waits
      */
-    Optional<T> poll(Duration most) throws InterruptedException {
-        T next = waiting.poll();
-        if (next == null && !most.isZero()) {
-            long end = System.nanoTime() + most.toNanos();
-            taker = Thread.currentThread();
+    Optional<T> poll(Duration maxWait) throws InterruptedException {
+        T next = items.poll();
+        if (next == null && !maxWait.isZero()) {
+            long end = System.nanoTime() + maxWait.toNanos();
+            consumer = Thread.currentThread();
             try {
-                for (next = waiting.poll(); next == null; next = waiting.poll()) {
+                for (next = items.poll(); next == null; next = items.poll()) {
                     long left = end - System.nanoTime();
                     if (left <= 0) {
                         return Optional.empty();
@@ -51,7 +54,7 @@
                     }
                 }
             } finally {
-                taker = null;
+                consumer = null;
             }
         }
         return Optional.ofNullable(next);
--- a/src/main/java/cypressglade/core/MonotonicClock.java
+++ b/src/main/java/cypressglade/core/MonotonicClock.java
@@ -3,18 +3,21 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** The time of day as it was at the start, carried on by the clock that never goes back. */
+/**
+ * The wall clock's time at the start of the process, advanced by {@link System#nanoTime}: it never
+ * goes back, and steps of the wall clock do not move it.
+ */
 public final class MonotonicClock {
     private static final Instant START = Instant.now();
-    private static final long START_TICK = System.nanoTime();
+    private static final long START_NANOS = System.nanoTime();
 
     private MonotonicClock() {}
 
     public static Instant now() {
-        return START.plusNanos(System.nanoTime() - START_TICK);
+        return START.plusNanos(System.nanoTime() - START_NANOS);
     }
 
-    /** What is left until then, or nothing where it has passed. */
+    /** The time that is left until {@code then}, or zero where it has passed. */
     public static Duration until(Instant then) {
         Duration left = Duration.between(now(), then);
         return left.isNegative() ? Duration.ZERO : left;
--- a/src/main/java/cypressglade/core/NodeDirectory.java
+++ b/src/main/java/cypressglade/core/NodeDirectory.java
@@ -17,15 +17,20 @@
 import java.util.stream.Collectors;
 
 /**
- * What was told of the nodes last. Ids are stable and addresses are not, so the module knows a node
- * by a number given to its id here. The links ask here before the first byte of an attempt.
+ * The nodes of the latest node list. Ids are stable while addresses change, so the directory gives
+ * each id a number, by which the scheduling policy and the links know the node. The links look a
+ * node up here just before the first byte of an attempt. Safe for use by several threads.
  */
 public final class NodeDirectory {
     /**
-     * A node that is in the list.
+     * A node of the list.
      *
-     * @param wallClockStart since when its process runs, as discovery told it: by the wall clock
-     * @param monotonicStart the same on the clock of {@link MonotonicClock}
+     * @param id stable id of the node
+     * @param address where it serves requests; null is allowed where the node is gone
+     * @param shard shard that the node holds
+     * @param state whether it may get new requests
+     * @param wallClockStart when its process started, as discovery reported it by the wall clock
+     * @param monotonicStart the same by {@link MonotonicClock}
      */
     public record ListedNode(
             String id,
@@ -36,31 +41,31 @@
             Instant monotonicStart) {}
 
     private final Map<String, Long> numbers = new HashMap<>();
-    private final Map<Long, NodeDirectory.ListedNode> nodes = new HashMap<>();
-    private final StartTimeConverter starts = new StartTimeConverter();
+    private final Map<Long, ListedNode> nodes = new HashMap<>();
+    private final StartTimeConverter startTimes = new StartTimeConverter();
     private long version;
     private long lastNumber;
 
-    /** Takes in a list; returns the module's form of it. */
+    /** Applies a list, or a change to it; returns it in the scheduling policy's form. */
     public synchronized List<NodeEntry> update(NodeList list) {
         version = list.version();
         Instant now = MonotonicClock.now();
         Instant wall = Instant.now();
-        Set<Long> named = new HashSet<>();
+        Set<Long> listed = new HashSet<>();
         List<NodeEntry> entries = new ArrayList<>();
         for (NodeList.Entry entry : list.entries()) {
             long number = numbers.computeIfAbsent(entry.id(), id -> ++lastNumber);
-            named.add(number);
-            Instant runsSince = starts.toMonotonic(entry.id(), entry.started(), now, wall);
+            listed.add(number);
+            Instant start = startTimes.toMonotonic(entry.id(), entry.started(), now, wall);
             nodes.put(
                     number,
-                    new NodeDirectory.ListedNode(
+                    new ListedNode(
                             entry.id(),
                             entry.address(),
                             entry.shard(),
                             entry.state(),
                             entry.started(),
-                            runsSince));
+                            start));
             entries.add(
                     new NodeEntry(
                             number,
@@ -68,16 +73,16 @@
                             entry.state(),
                             entry.shard(),
                             entry.weight(),
-                            Micros.of(runsSince),
+                            Micros.of(start),
                             entry.kind()));
         }
         if (list.full()) {
-            nodes.keySet().retainAll(named);
+            nodes.keySet().retainAll(listed);
         }
         nodes.values().removeIf(node -> node.state() == State.GONE);
-        numbers.values()
-                .retainAll(nodes.keySet()); // replaced nodes come with new ids, all day long
-        starts.retain(numbers.keySet());
+        // Replaced nodes come back under new ids all the time, so these tables must not grow.
+        numbers.values().retainAll(nodes.keySet());
+        startTimes.retain(numbers.keySet());
         return entries;
     }
 
@@ -85,14 +90,15 @@
         return list.full() ? ListKind.FULL : ListKind.DELTA;
     }
 
-    /** The number of the node that has the id now. */
+    /** The number of the node that has the id now; empty where the list has no such id. */
     synchronized OptionalLong numberOf(String id) {
         Long number = numbers.get(id);
         return number == null ? OptionalLong.empty() : OptionalLong.of(number);
     }
 
     /**
-     * The module's views by the ids of their nodes; one that left the list meanwhile is left out.
+     * Pairs the scheduling policy's views with the nodes of the list; views of nodes that have left
+     * the list are omitted.
      */
     synchronized List<NodeStatus> statuses(List<NodeView> views) {
         return views.stream()
@@ -102,41 +108,42 @@
     }
 
     /**
-     * The same, and after them those of the list that the module keeps nothing of, such as drained
-     * ones.
+     * {@link #statuses}, followed by the listed nodes that the scheduling policy has no view of,
+     * such as drained ones.
      */
     synchronized List<NodeStatus> allStatuses(List<NodeView> views) {
         List<NodeStatus> all = new ArrayList<>(statuses(views));
         Set<Long> seen = views.stream().map(NodeView::node).collect(Collectors.toSet());
         nodes.forEach(
-                (number, known) -> {
+                (number, node) -> {
                     if (!seen.contains(number)) {
-                        all.add(new NodeStatus(known, NodeView.unknown(number, known.shard())));
+                        all.add(new NodeStatus(node, NodeView.unknown(number, node.shard())));
                     }
                 });
         return all;
     }
 
-    /** How many nodes are known. */
+    /** How many nodes have a number. */
     synchronized int size() {
         return numbers.size();
     }
 
+    /** The version of the latest list; 0 before the first. */
     public synchronized long version() {
         return version;
     }
 
-    /** A node, if work may start there now: it is known, and neither draining nor gone. */
-    public synchronized Optional<NodeDirectory.ListedNode> findReady(long node) {
-        return Optional.ofNullable(nodes.get(node)).filter(known -> known.state() == State.READY);
+    /** The node with this number, if it may get work now; empty if it is drained or not listed. */
+    public synchronized Optional<ListedNode> findReady(long number) {
+        return Optional.ofNullable(nodes.get(number)).filter(node -> node.state() == State.READY);
     }
 
-    /** Whether a shard can take no work because what holds it drains. */
+    /** Whether a shard accepts no work because all nodes that hold it are draining. */
     public synchronized boolean isDraining(int shard) {
         Set<State> states =
                 nodes.values().stream()
                         .filter(node -> node.shard() == shard)
-                        .map(NodeDirectory.ListedNode::state)
+                        .map(ListedNode::state)
                         .collect(Collectors.toSet());
         return states.contains(State.DRAINING) && !states.contains(State.READY);
     }
--- a/src/main/java/cypressglade/core/NodeLink.java
+++ b/src/main/java/cypressglade/core/NodeLink.java
@@ -6,12 +6,19 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** A front's way to the storage nodes; none of its methods blocks. */
+/**
+ * A front's connections to the storage nodes. No method blocks.
+ *
+ * @param <W> what the front sends to a node for one request
+ */
 public interface NodeLink<W> {
     /**
-     * Starts one attempt. Its end comes exactly once, at {@code until} at the latest; by then the
-     * connection no longer carries it. It begins at the node only if it is {@code wanted} just
-     * before its first byte.
+     * Starts one attempt.
+     *
+     * @param node the node's number in {@link NodeDirectory}
+     * @param until when the attempt ends at the latest; by then its connection no longer carries it
+     * @param wanted asked just before the first byte; the attempt is not sent where it says false
+     * @param ended called exactly once, by {@code until}
      */
     Attempt send(
             long node,
@@ -20,18 +27,21 @@
             BooleanSupplier wanted,
             Consumer<AttemptResult> ended);
 
-    /** Asks a node for a sign of life. */
+    /** Sends a node a health probe; {@code ended} is called exactly once. */
     void probe(long node, Consumer<AttemptResult> ended);
 
-    /** An attempt that is out. */
+    /** An attempt in flight. */
     interface Attempt {
+        /** Ends the attempt early; its result is delivered all the same. */
         void cancel();
     }
 
     /**
-     * How an attempt or a probe ended; the answer is there only where it was served. {@code took}
-     * is how long the node took, as far as the link can tell it from this program's own lateness;
-     * empty where it cannot.
+     * How an attempt or a probe ended.
+     *
+     * @param answer the body of the response; empty unless the status is {@code OK}
+     * @param latency how long the node took, without the delays of this program as far as the link
+     *     can tell them apart; empty where it cannot
      */
     record AttemptResult(
             Scheduler.Status status,
@@ -40,30 +50,39 @@
             Optional<Duration> latency) {
         private static final byte[] NONE = {};
 
-        public AttemptResult(Scheduler.Status status, byte[] answer, ResponseMetadata told) {
-            this(status, answer, told, Optional.empty());
+        public AttemptResult(Scheduler.Status status, byte[] answer, ResponseMetadata metadata) {
+            this(status, answer, metadata, Optional.empty());
         }
 
-        /** An end with no answer, or none that told anything. */
+        /** A result without a response, or with one that carried no metadata. */
         public static AttemptResult withoutResponse(Scheduler.Status status) {
             return new AttemptResult(status, NONE, ResponseMetadata.NOTHING);
         }
 
-        /** An answer that was read whole; its body counts only where it was served. */
+        /** A result with a response that was read whole; the body is kept only for {@code OK}. */
         public static AttemptResult fromResponse(
-                Scheduler.Status status, byte[] answer, ResponseMetadata told, Duration took) {
+                Scheduler.Status status,
+                byte[] answer,
+                ResponseMetadata metadata,
+                Duration latency) {
             return new AttemptResult(
-                    status, status == Scheduler.Status.OK ? answer : NONE, told, Optional.of(took));
+                    status,
+                    status == Scheduler.Status.OK ? answer : NONE,
+                    metadata,
+                    Optional.of(latency));
         }
     }
 
     /**
-     * What a node's answer told beside itself, in the simulator's figures: {@code used}, the
-     * volume's use through all schedulers in the last finished period of the meter, in percent of
-     * its plan's rate, plus 1 (0 where not told); {@code byOthers}, units that the shard served for
-     * the volume through other schedulers since its last answer to this one; {@code load}, the
-     * node's report by {@link Scheduler.Settings#loadNames} (empty where none, NaN where a name was
-     * not told).
+     * What a node's response reports besides its body, in the units of the simulator's protocol.
+     *
+     * @param usePercentPlusOne the units that the volume was served through all schedulers in the
+     *     last finished metering period, in percent of its plan's rate, plus 1; 0 where not
+     *     reported
+     * @param unitsByOthers units that the shard served for the volume through other schedulers
+     *     since its last response to this one
+     * @param load the values of {@link Scheduler.Settings#loadNames}, NaN for a name that was not
+     *     reported; empty where none was
      */
     record ResponseMetadata(int usePercentPlusOne, int unitsByOthers, float[] load) {
         public static final ResponseMetadata NOTHING = new ResponseMetadata(0, 0, new float[0]);
--- a/src/main/java/cypressglade/core/RequestLog.java
+++ b/src/main/java/cypressglade/core/RequestLog.java
@@ -7,82 +7,104 @@
 import java.util.Locale;
 
 /**
- * Why requests and connections ended as they did, by the ids that clients gave: every close, retry,
- * refusal and failure. The latest are kept for who asks ({@code GET /recent}); what should not
- * happen goes to the log as well, a bounded number of lines a second. Safe for use by several
- * threads.
+ * Records why requests and connections ended as they did, by the ids that clients gave: every
+ * close, retry, refusal and failure. The latest entries are kept in memory for {@code GET /recent};
+ * unexpected ones go to the program's log as well, up to a fixed number of lines a second. Safe for
+ * use by several threads.
  */
 public final class RequestLog {
     private static final System.Logger LOG = System.getLogger(RequestLog.class.getName());
-    private static final int MOST_KEPT = 512;
-    private static final int MOST_LINES = 10;
+    private static final int MAX_ENTRIES = 512;
+    private static final int MAX_LINES_PER_PERIOD = 10;
     private static final Duration PERIOD = Duration.ofSeconds(1);
 
-    /** Stands for the id where there is none, as of a connection between two requests. */
+    /** Stands for the id where there is none, such as for a connection between two requests. */
     public static final String NO_ID = "-";
 
-    private final ArrayDeque<Entry> kept = new ArrayDeque<>();
+    private final ArrayDeque<Entry> entries = new ArrayDeque<>();
     private Instant periodEnd = Instant.EPOCH;
     private int lines;
-    private int unsaid;
+    private int suppressed;
 
-    /** What became of a request or a connection. */
+    /** What happened to a request or a connection; printed in lower case. */
     public enum Event {
+        /** The request was answered as refused: not done, safe to send again. */
         REFUSED,
+        /** The request was answered as failed. */
         FAILED,
+        /** A further attempt was sent after one that did not serve the request. */
         RETRIED,
+        /** The request failed because the scheduling policy gave no order by its deadline. */
         BY_DEADLINE,
+        /** The request could not be parsed. */
         MALFORMED,
+        /** The client disconnected before its answer. */
         GONE,
+        /** A client's connection was closed. */
         CLOSED,
+        /** The request's task threw an exception, or its client did not read the answer in time. */
         CUT_OFF,
+        /** The request was ended because the program stops. */
         STOPPED;
 
-        /** Whether a request may have gone without what it is owed. */
+        /** Whether the client may not have got the answer that it was owed. */
         boolean isUnexpected() {
             return this == BY_DEADLINE || this == CUT_OFF || this == STOPPED;
         }
     }
 
-    private record Entry(Instant at, String id, RequestLog.Event what, String why) {
+    private record Entry(Instant at, String id, Event event, String cause) {
         @Override
         public String toString() {
-            return at + " " + id + " " + what.name().toLowerCase(Locale.ROOT) + ": " + why;
+            return at + " " + id + " " + event.name().toLowerCase(Locale.ROOT) + ": " + cause;
         }
     }
 
-    /** Notes what became of it; {@code why} names the cause in a few words. */
-    public synchronized void record(String id, RequestLog.Event what, String why) {
-        Entry entry = new Entry(MonotonicClock.now(), id, what, why);
-        kept.add(entry);
-        if (kept.size() > MOST_KEPT) {
-            kept.poll();
+    /**
+     * Records one event.
+     *
+     * @param id the id that the client gave, or {@link #NO_ID}
+     * @param cause why it happened, in a few words
+     */
+    public synchronized void record(String id, Event event, String cause) {
+        Entry entry = new Entry(MonotonicClock.now(), id, event, cause);
+        entries.add(entry);
+        if (entries.size() > MAX_ENTRIES) {
+            entries.poll();
         }
-        if (what.isUnexpected()) {
-            tell(entry);
+        if (event.isUnexpected()) {
+            logLimited(entry);
         }
     }
 
-    private void tell(Entry entry) {
+    private void logLimited(Entry entry) {
         if (!entry.at().isBefore(periodEnd)) {
-            if (unsaid > 0) {
-                LOG.log(Level.WARNING, "{0} more such requests were not named", unsaid);
+            if (suppressed > 0) {
+                LOG.log(
+                        Level.WARNING,
+                        "{0} further requests of this kind were not logged",
+                        suppressed);
             }
             periodEnd = entry.at().plus(PERIOD);
             lines = 0;
-            unsaid = 0;
+            suppressed = 0;
         }
-        if (lines++ < MOST_LINES) {
-            LOG.log(Level.WARNING, "request {0} {1}: {2}", entry.id(), entry.what(), entry.why());
+        if (lines++ < MAX_LINES_PER_PERIOD) {
+            LOG.log(
+                    Level.WARNING,
+                    "request {0} {1}: {2}",
+                    entry.id(),
+                    entry.event(),
+                    entry.cause());
         } else {
-            unsaid++;
+            suppressed++;
         }
     }
 
-    /** The latest, the oldest first, one a line. */
+    /** The entries in memory, oldest first, one a line. */
     public synchronized String text() {
         StringBuilder text = new StringBuilder();
-        kept.forEach(entry -> text.append(entry).append('\n'));
+        entries.forEach(entry -> text.append(entry).append('\n'));
         return text.toString();
     }
 }
--- a/src/main/java/cypressglade/core/RequestPool.java
+++ b/src/main/java/cypressglade/core/RequestPool.java
@@ -11,29 +11,36 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * The open requests, whose number is bounded. One that is sent somewhere blocks on a thread of its
- * own; one that waits for the module's word has none, so that a refusal costs no change of threads
- * but the module's.
+ * The open requests, whose number is bounded, and the threads that run them. A request gets a
+ * thread of its own once it is sent to a node; while it waits for the scheduling policy it has
+ * none, so that a refusal costs no thread switch besides the one to the engine. Safe for use by
+ * several threads.
  */
 public final class RequestPool implements AutoCloseable {
-    /** How long a thread waits for its next request; its stack stays in memory for that long. */
-    private static final Duration KEEP = Duration.ofSeconds(5);
+    /** How long an idle thread is kept; its stack stays in memory for that long. */
+    private static final Duration THREAD_KEEP_ALIVE = Duration.ofSeconds(5);
 
     private final ThreadPoolExecutor threads;
     private final Counters counters;
     private final Set<RequestTask<?>> waiting = ConcurrentHashMap.newKeySet();
-    private final Set<RequestTask<?>> working = ConcurrentHashMap.newKeySet();
+    private final Set<RequestTask<?>> running = ConcurrentHashMap.newKeySet();
     private final AtomicInteger open = new AtomicInteger();
-    private volatile int most;
+    private volatile int maxOpen;
 
-    public RequestPool(int most, long stackBytes, Counters counters) {
-        this.most = most;
+    /**
+     * Creates an empty pool.
+     *
+     * @param maxOpen bound on open requests, and on those of them that have a thread
+     * @param stackBytes stack size of a request's thread in bytes; 0 for the JVM's default
+     */
+    public RequestPool(int maxOpen, long stackBytes, Counters counters) {
+        this.maxOpen = maxOpen;
         this.counters = counters;
         threads =
                 new ThreadPoolExecutor(
                         0,
-                        most,
-                        KEEP.toMillis(),
+                        maxOpen,
+                        THREAD_KEEP_ALIVE.toMillis(),
                         TimeUnit.MILLISECONDS,
                         new SynchronousQueue<>(),
                         task -> {
@@ -43,61 +50,67 @@
                         });
     }
 
-    /** Takes a request; false when there is no room, and then nothing has happened to it. */
-    public boolean start(RequestTask<?> life) {
+    /**
+     * Opens a request and submits it to the engine. Returns false, without any effect on the
+     * request, where the bound on open requests is reached.
+     */
+    public boolean start(RequestTask<?> task) {
         counters.add(Counters.Name.TAKEN);
-        if (open.incrementAndGet() > most) {
+        if (open.incrementAndGet() > maxOpen) {
             open.decrementAndGet();
             counters.add(Counters.Name.REFUSED_NO_ROOM);
             return false;
         }
-        waiting.add(life);
-        life.submit(this);
+        waiting.add(task);
+        task.submit(this);
         return true;
     }
 
-    /** Puts a request on a thread; false, and it is over, where none is free: one ends just now. */
-    boolean execute(RequestTask<?> life) {
-        working.add(life);
-        waiting.remove(life);
+    /**
+     * Runs a request on a thread. Where none is free, as can be while another request is just
+     * ending, it releases the request and returns false.
+     */
+    boolean execute(RequestTask<?> task) {
+        running.add(task);
+        waiting.remove(task);
         try {
-            threads.execute(life);
+            threads.execute(task);
             return true;
         } catch (RejectedExecutionException full) {
             counters.add(Counters.Name.REFUSED_NO_ROOM);
-            release(life);
+            release(task);
             return false;
         }
     }
 
-    /** The one place where a request's room is given back. */
-    void release(RequestTask<?> life) {
-        waiting.remove(life);
-        working.remove(life);
+    /** Removes a request that has ended; the only place that does, called once a request. */
+    void release(RequestTask<?> task) {
+        waiting.remove(task);
+        running.remove(task);
         open.decrementAndGet();
     }
 
     /**
-     * Answers those that the module left without a word past their deadline: to be called now and
-     * then.
+     * Fails the requests that the scheduling policy gave no order for by their deadline. To be
+     * called periodically.
      */
     public void expireOverdue(Instant now) {
-        waiting.forEach(life -> life.expireIfOverdue(now));
+        waiting.forEach(task -> task.expireIfOverdue(now));
     }
 
-    /** Has each open request answered now, as the program is about to be killed. */
+    /** Answers every open request at once, because the process is about to be killed. */
     public void stopAll() {
         waiting.forEach(RequestTask::stop);
-        working.forEach(RequestTask::stop);
+        running.forEach(RequestTask::stop);
     }
 
     /**
-     * Takes new bounds, on requests that are open and on those of them that have a thread; what
-     * runs goes on.
+     * Changes the bounds on open requests and on those of them that have a thread. Requests that
+     * are open already go on.
      */
-    public void resize(int mostOpen, int mostThreads) {
-        most = mostOpen;
-        threads.setMaximumPoolSize(mostThreads);
+    public void resize(int newMaxOpen, int maxThreads) {
+        maxOpen = newMaxOpen;
+        threads.setMaximumPoolSize(maxThreads);
     }
 
     /** How many requests are open. */
--- a/src/main/java/cypressglade/core/RequestTask.java
+++ b/src/main/java/cypressglade/core/RequestTask.java
@@ -2,6 +2,8 @@
 
 import cypressglade.core.Counters.Name;
 import cypressglade.core.NodeLink.Attempt;
+import cypressglade.core.NodeLink.AttemptResult;
+import cypressglade.core.RequestLog.Event;
 import cypressglade.core.Scheduler.Status;
 import cypressglade.storm.Try;
 import java.time.Duration;
@@ -9,70 +11,85 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * One request from its taking to its one answer. Until the module sends it somewhere it takes no
- * thread: what ends it by then (a refusal, its client's leave, its deadline) is done where it is
- * told. From its first attempt on it is read from top to bottom in {@link #run}, as a blocking
- * task; its links do not block.
+ * One request from its arrival to its single answer. Until the scheduling policy sends it to a node
+ * it has no thread: whatever ends it by then (a refusal, its client's disconnect, its deadline) is
+ * handled on the thread that reports it. From its first attempt on it runs as a blocking task,
+ * {@link #run}; the links that it uses do not block.
+ *
+ * @param <W> what the front sends to a node for the request
  */
 public final class RequestTask<W> implements Runnable {
-    /** How long past the end of a request the module's last word is waited for. */
+    /** How long past the deadline of a request the scheduling policy's order is waited for. */
     private static final Duration ORDER_GRACE = Duration.ofMillis(15);
 
     private final Engine engine;
     private final Counters counters;
     private final IoRequest request;
     private final W work;
-    private final Responder caller;
+    private final Responder responder;
     private final NodeLink<W> link;
     private final Mailbox<Signal> signals = new Mailbox<>();
     private final AtomicReference<Phase> phase = new AtomicReference<>(Phase.WAITING);
     private RequestPool pool;
     private final RequestLog log;
-    private boolean worked; // an attempt was made
-    private boolean answered;
-    private boolean stopped; // as the request's own task has heard
-    private boolean gone; // as the request's own task has heard
-    private volatile boolean left; // as it is, for an attempt that has not begun
 
-    // The engine's alone: the number that the module knows the request by, and what was ordered and
-    // ended.
+    private boolean hasRun; // set when the task gets its thread
+    private boolean isAnswered;
+
+    // Whether the request's own thread has received these signals.
+    private boolean isStopped;
+    private boolean isClientGone;
+
+    /** Set as soon as the client disconnects; read just before an attempt begins. */
+    private volatile boolean hasClientLeft;
+
+    // Used by the engine thread alone: the number by which the scheduling policy knows the request,
+    // the node of the latest order to send, and how many attempts were ordered and have ended.
     long id;
     long node;
-    int ordered;
-    int ended;
-    // The same for its gate, where there is one.
-    Try asTry;
+    int orderedAttempts;
+    int endedAttempts;
+
+    // Used by the engine thread alone, for its retry storm filter where it has one.
+    Try stormRequest;
     Instant firstSent;
     boolean mayHaveRun;
 
-    /** Waits for the module's word without a thread, works on one, or has its answer. */
     private enum Phase {
+        /** Waits for the scheduling policy's order, without a thread. */
         WAITING,
-        WORKING,
-        OVER
+        /** Has a thread. */
+        RUNNING,
+        /** Ended without having had a thread. */
+        FINISHED
     }
 
     /**
-     * What a request can be told: the module's order, the end of its attempt, or that its client is
-     * gone.
+     * What the task receives: an order of the scheduling policy, the end of its attempt, or a
+     * reason to end.
      */
     sealed interface Signal {}
 
+    /** Order: send an attempt to the node; a limit of zero leaves it the time to the deadline. */
     record Send(long node, Duration limit) implements Signal {}
 
+    /** Order: answer as refused, with an advice when to retry; zero for none. */
     record Refuse(Duration retryAfter) implements Signal {}
 
+    /** Order: answer as failed. */
     record Fail() implements Signal {}
 
+    /** Order: cancel the attempt. */
     record Cancel(int attempt) implements Signal {}
 
-    private record Ended(NodeLink.AttemptResult ending) implements Signal {}
+    private record AttemptEnded(AttemptResult result) implements Signal {}
 
-    private record Gone() implements Signal {}
+    private record ClientGone() implements Signal {}
 
-    private record Late() implements Signal {}
+    /** The scheduling policy gave no order in time. */
+    private record Overdue() implements Signal {}
 
-    /** The program stops and can wait no longer. */
+    /** The process is about to be killed. */
     private record Stop() implements Signal {}
 
     public RequestTask(
@@ -80,69 +97,72 @@
             Counters counters,
             IoRequest request,
             W work,
-            Responder caller,
+            Responder responder,
             NodeLink<W> link) {
         this.engine = engine;
         this.counters = counters;
         this.request = request;
         this.work = work;
-        this.caller = caller;
+        this.responder = responder;
         this.link = link;
         this.log = engine.requestLog();
     }
 
-    /** Hands it to the module; its ends, and its thread, are the pool's from here on. */
-    void submit(RequestPool room) {
-        pool = room;
+    /** Submits the request to the engine; from here on the pool holds it until it has ended. */
+    void submit(RequestPool owner) {
+        pool = owner;
         engine.submit(this, request);
     }
 
     void signal(Signal signal) {
-        if (phase.get() == Phase.WORKING) {
+        if (phase.get() == Phase.RUNNING) {
             signals.add(signal);
-        } else if (signal instanceof Send && phase.compareAndSet(Phase.WAITING, Phase.WORKING)) {
+        } else if (signal instanceof Send && phase.compareAndSet(Phase.WAITING, Phase.RUNNING)) {
             signals.add(signal);
-            if (!pool.execute(
-                    this)) { // no thread for it: it never ran anywhere, and the module hears so
-                caller.refuse(Duration.ZERO);
+            // Without a thread it never ran on any node; which the scheduling policy must know.
+            if (!pool.execute(this)) {
+                responder.refuse(Duration.ZERO);
                 engine.withdraw(this, false);
             }
-        } else if (!(signal instanceof Cancel) && phase.compareAndSet(Phase.WAITING, Phase.OVER)) {
-            end(signal);
+        } else if (!(signal instanceof Cancel)
+                && phase.compareAndSet(Phase.WAITING, Phase.FINISHED)) {
+            finish(signal);
             pool.release(this);
         }
     }
 
-    /** Ends it where the module has said nothing by its deadline and a little more. */
+    /** Fails the request if it got no order by its deadline and {@link #ORDER_GRACE}. */
     void expireIfOverdue(Instant now) {
         if (phase.get() == Phase.WAITING && now.isAfter(request.expiry().plus(ORDER_GRACE))) {
-            signal(new Late());
+            signal(new Overdue());
         }
     }
 
-    /** Answers it now, whatever is out for it: the program stops, and is killed soon. */
+    /** Answers the request now, even with an attempt in flight: the process is killed soon. */
     void stop() {
         signal(new Stop());
     }
 
     /**
-     * The client went away: the module hears of it, nothing is answered, and nothing begins any
-     * more.
+     * Ends the request because its client disconnected: the engine is notified, no answer is given,
+     * and no further attempt begins.
      */
     public void clientDisconnected() {
-        left = true;
-        engine.clientDisconnected(this); // before the client can come again by another connection
-        signal(new Gone());
+        hasClientLeft = true;
+        // Before the client can send the request again by another connection.
+        engine.clientDisconnected(this);
+        signal(new ClientGone());
     }
 
     @Override
     public void run() {
-        worked = true;
+        hasRun = true;
         try {
-            work();
+            runAttempts();
         } catch (RuntimeException | Error fault) {
-            log.record(caller.requestId(), RequestLog.Event.CUT_OFF, "its task failed: " + fault);
-            if (!answered) { // its client is owed an answer all the same
+            log.record(responder.requestId(), Event.CUT_OFF, "its task failed: " + fault);
+            // The client is owed an answer all the same.
+            if (!isAnswered) {
                 fail();
                 engine.withdraw(this, false);
             }
@@ -152,13 +172,13 @@
         }
     }
 
-    private void work() {
+    private void runAttempts() {
         int attempt = 0;
         Status last = Status.MOOT;
         while (true) {
             Signal order = await(request.expiry().plus(ORDER_GRACE));
             if (!(order instanceof Send send)) {
-                if (end(order)) {
+                if (finish(order)) {
                     return;
                 }
                 continue;
@@ -167,8 +187,8 @@
             Instant sent = MonotonicClock.now();
             if (attempt > 0) {
                 log.record(
-                        caller.requestId(),
-                        RequestLog.Event.RETRIED,
+                        responder.requestId(),
+                        Event.RETRIED,
                         "attempt "
                                 + (attempt + 1)
                                 + " at node "
@@ -176,18 +196,18 @@
                                 + ", as the last ended "
                                 + last);
             }
-            NodeLink.AttemptResult ending = attempt(send, sent);
-            last = ending.status();
-            counters.countAttemptEnd(ending.status());
-            boolean served = ending.status() == Status.OK;
-            if (served && !gone) {
+            AttemptResult result = runAttempt(send, sent);
+            last = result.status();
+            counters.countAttemptEnd(result.status());
+            boolean served = result.status() == Status.OK;
+            if (served && !isClientGone) {
                 counters.add(Name.ANSWERED_SERVED);
-                answered = true;
-                caller.serve(ending.answer());
-            } else if (stopped && !gone) {
+                isAnswered = true;
+                responder.serve(result.answer());
+            } else if (isStopped && !isClientGone) {
                 log.record(
-                        caller.requestId(),
-                        RequestLog.Event.STOPPED,
+                        responder.requestId(),
+                        Event.STOPPED,
                         "an attempt was out at node " + send.node());
                 fail();
             }
@@ -195,10 +215,10 @@
                     this,
                     attempt,
                     send.node(),
-                    ending,
-                    ending.latency().orElseGet(() -> Duration.between(sent, MonotonicClock.now())),
-                    served || gone || stopped);
-            if (served || gone || stopped) {
+                    result,
+                    result.latency().orElseGet(() -> Duration.between(sent, MonotonicClock.now())),
+                    served || isClientGone || isStopped);
+            if (served || isClientGone || isStopped) {
                 return;
             }
             attempt++;
@@ -206,32 +226,29 @@
     }
 
     /**
-     * Gives the answer that an order stands for; false where it is none, as a cancel that comes
-     * late.
+     * Gives the answer that a signal calls for. Returns false where it calls for none, such as a
+     * cancel that comes too late.
      */
-    private boolean end(Signal order) {
-        if (order instanceof Refuse refuse) {
+    private boolean finish(Signal signal) {
+        if (signal instanceof Refuse refuse) {
             counters.add(Name.ANSWERED_REFUSED);
             log.record(
-                    caller.requestId(),
-                    RequestLog.Event.REFUSED,
+                    responder.requestId(),
+                    Event.REFUSED,
                     "by the module, to come again after " + refuse.retryAfter().toMillis() + " ms");
-            caller.refuse(refuse.retryAfter());
-        } else if (order instanceof Fail) {
-            log.record(caller.requestId(), RequestLog.Event.FAILED, "by the module");
+            responder.refuse(refuse.retryAfter());
+        } else if (signal instanceof Fail) {
+            log.record(responder.requestId(), Event.FAILED, "by the module");
             fail();
-        } else if (order instanceof Stop) {
-            endAtStop();
+        } else if (signal instanceof Stop) {
+            finishAtStop();
             engine.withdraw(this, false);
-        } else if (order instanceof Gone) {
+        } else if (signal instanceof ClientGone) {
             engine.withdraw(this, false);
-        } else if (order instanceof Late) {
+        } else if (signal instanceof Overdue) {
             counters.add(Name.ANSWERED_BY_DEADLINE);
-            log.record(
-                    caller.requestId(),
-                    RequestLog.Event.BY_DEADLINE,
-                    "the module had not said a word");
-            caller.fail();
+            log.record(responder.requestId(), Event.BY_DEADLINE, "the module had not said a word");
+            responder.fail();
             engine.withdraw(this, false);
         } else {
             return false;
@@ -240,51 +257,50 @@
     }
 
     /**
-     * Nothing is out for it: what was never sent is refused, which promises that it did not run.
+     * Answers a request that has no attempt in flight. One that was never sent is refused, which
+     * promises that it did not run.
      */
-    private void endAtStop() {
-        log.record(caller.requestId(), RequestLog.Event.STOPPED, "no attempt was out");
-        if (worked) {
+    private void finishAtStop() {
+        log.record(responder.requestId(), Event.STOPPED, "no attempt was out");
+        if (hasRun) {
             fail();
         } else {
             counters.add(Name.ANSWERED_REFUSED);
-            caller.refuse(Duration.ZERO);
+            responder.refuse(Duration.ZERO);
         }
     }
 
     private void fail() {
         counters.add(Name.ANSWERED_FAILED);
-        answered = true;
-        caller.fail();
+        isAnswered = true;
+        responder.fail();
     }
 
-    /**
-     * Waits for the end of one attempt, which comes by its limit; by then no connection carries it.
-     */
-    private NodeLink.AttemptResult attempt(Send send, Instant sent) {
+    /** Sends one attempt and waits for its end, which comes by its limit at the latest. */
+    private AttemptResult runAttempt(Send send, Instant sent) {
         Instant until = request.expiry();
         if (!send.limit().isZero() && sent.plus(send.limit()).isBefore(until)) {
             until = sent.plus(send.limit());
         }
-        Attempt out =
+        Attempt inFlight =
                 link.send(
                         send.node(),
                         work,
                         until,
-                        () -> !left && caller.isClientConnected(),
-                        ending -> signal(new Ended(ending)));
+                        () -> !hasClientLeft && responder.isClientConnected(),
+                        result -> signal(new AttemptEnded(result)));
         while (true) {
             Signal signal = await(Instant.MAX);
-            if (signal instanceof Ended end) {
-                return end.ending();
+            if (signal instanceof AttemptEnded end) {
+                return end.result();
             } else if (signal instanceof Cancel) {
-                out.cancel();
+                inFlight.cancel();
             } else if (signal instanceof Stop) {
-                stopped = true;
-                out.cancel();
-            } else if (signal instanceof Gone) {
-                // an attempt that has begun runs on: what becomes of it still tells of its node
-                gone = true;
+                isStopped = true;
+                inFlight.cancel();
+            } else if (signal instanceof ClientGone) {
+                // An attempt that has begun goes on: its result still tells about its node.
+                isClientGone = true;
                 engine.withdraw(this, true);
             }
         }
@@ -292,12 +308,12 @@
 
     private Signal await(Instant until) {
         try {
-            // Who waits for the end of an attempt looks again after the longest wait.
+            // While an attempt is in flight a wait that ends without a signal is just repeated.
             Duration left =
-                    until.equals(Instant.MAX) ? Mailbox.LONGEST : MonotonicClock.until(until);
-            return signals.poll(left).orElseGet(Late::new);
-        } catch (InterruptedException end) {
-            return new Late();
+                    until.equals(Instant.MAX) ? Mailbox.MAX_WAIT : MonotonicClock.until(until);
+            return signals.poll(left).orElseGet(Overdue::new);
+        } catch (InterruptedException interrupted) {
+            return new Overdue();
         }
     }
 }
--- a/src/main/java/cypressglade/core/Responder.java
+++ b/src/main/java/cypressglade/core/Responder.java
@@ -2,30 +2,39 @@
 
 import java.time.Duration;
 
-/** Who asked: takes exactly one final answer. Each front implements it for its wire. */
+/**
+ * Delivers the final answer of one request to its client; each front implements it for its
+ * protocol. Exactly one of {@link #serve}, {@link #refuse} and {@link #fail} is called, at most
+ * once, from the engine thread or the request's own thread.
+ */
 public interface Responder {
     /**
-     * Whether who asked is still there, by what has come on the wire up to now. Asked on the I/O
-     * thread just before an attempt begins, since the end of a client may have come without being
-     * heard of yet.
+     * Whether the client is still connected, judged by the bytes that have arrived so far. Called
+     * on the I/O thread just before an attempt begins, because the end of a connection may have
+     * arrived without having been processed yet.
      */
     default boolean isClientConnected() {
         return true;
     }
 
     /**
-     * The id that the client gave its request; {@link RequestLog#NO_ID} where its wire has none.
+     * The id that the client gave its request; {@link RequestLog#NO_ID} where the protocol has
+     * none.
      */
     default String requestId() {
         return RequestLog.NO_ID;
     }
 
-    /** Done; the answer is what a node sent for this request. */
+    /** Answers with the body that a node returned for this request. */
     void serve(byte[] answer);
 
-    /** Not done, and harmless to ask again; the advice is zero where none is given. */
+    /**
+     * Answers that the request was not done and is safe to send again.
+     *
+     * @param retryAfter when to send it again; zero for no advice
+     */
     void refuse(Duration retryAfter);
 
-    /** Failed, with no promise about effects. */
+    /** Answers that the request failed; it may or may not have taken effect. */
     void fail();
 }
--- a/src/main/java/cypressglade/core/Retry.java
+++ b/src/main/java/cypressglade/core/Retry.java
@@ -5,9 +5,10 @@
 import java.util.function.Predicate;
 
 /**
- * Tries again what the machine refuses for a moment: an address whose last owner is just dying, no
- * room for one more socket (EADDRINUSE, ENFILE, ENOBUFS), a file that a failing disk does not give.
- * A process must not end by what is over a little later. It blocks its caller meanwhile.
+ * Repeats an operation that the machine refuses for a moment: binding an address whose last owner
+ * is just exiting, opening a socket where there is no room for one more (EADDRINUSE, ENFILE,
+ * ENOBUFS), reading a file from a failing disk. A process must not end because of a condition that
+ * passes shortly after. Blocks the calling thread meanwhile.
  */
 public final class Retry {
     private static final System.Logger LOG = System.getLogger(Retry.class.getName());
@@ -15,49 +16,50 @@
 
     private Retry() {}
 
-    /** What is tried. */
+    /** The operation to repeat. */
     public interface Call<T, E extends Exception> {
         T call() throws E;
     }
 
     /**
-     * Calls until it succeeds, on the caller's thread.
+     * Calls until the operation succeeds, on the calling thread.
      *
-     * @param most from the first call on; the failure that comes after it is thrown
-     * @param what for the log, which names the first failure
-     * @param passing whether a failure may pass by itself; any other is thrown at once
-     * @throws E the last failure, where none succeeded in time or the thread was interrupted
+     * @param maxTime counted from the first call; a failure after it is thrown
+     * @param what names the operation in the log, which gets the first failure
+     * @param isTransient whether a failure may pass by itself; any other is thrown at once
+     * @throws E the last failure, where no call succeeded in time or the thread was interrupted
      */
     public static <T, E extends Exception> T untilDone(
-            Duration most, String what, Predicate<Exception> passing, Call<T, E> call) throws E {
-        Instant end = MonotonicClock.now().plus(most);
-        boolean told = false;
+            Duration maxTime, String what, Predicate<Exception> isTransient, Call<T, E> call)
+            throws E {
+        Instant end = MonotonicClock.now().plus(maxTime);
+        boolean logged = false;
         while (true) {
             try {
                 return call.call();
-            } catch (Exception refused) {
-                if (!passing.test(refused) || !MonotonicClock.now().isBefore(end) || !paused()) {
-                    throw refused;
+            } catch (Exception failure) {
+                if (!isTransient.test(failure) || !MonotonicClock.now().isBefore(end) || !pause()) {
+                    throw failure;
                 }
-                if (!told) {
-                    told = true;
+                if (!logged) {
+                    logged = true;
                     LOG.log(
                             System.Logger.Level.WARNING,
-                            "{0}: {1}; tried again for {2} ms",
+                            "{0}: {1}; retrying for up to {2} ms",
                             what,
-                            refused.toString(),
-                            most.toMillis());
+                            failure.toString(),
+                            maxTime.toMillis());
                 }
             }
         }
     }
 
-    /** False where the thread was interrupted, which stays noted. */
-    private static boolean paused() {
+    /** Returns false where the thread was interrupted; its interrupt status stays set. */
+    private static boolean pause() {
         try {
             Thread.sleep(PAUSE.toMillis());
             return true;
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             return false;
         }
--- a/src/main/java/cypressglade/core/RetryStormFilter.java
+++ b/src/main/java/cypressglade/core/RetryStormFilter.java
@@ -20,31 +20,43 @@
 import java.util.SplittableRandom;
 
 /**
- * What the engine asks of {@link Storms}: before the module is asked about a try, when it refuses
- * one, and when a write is given up that may have run. Puts requests into the terms of that
- * package; decides nothing. The engine's thread owns it.
+ * Connects the engine to {@link Storms}, which keeps storms of client retries from the scheduling
+ * policy: asks it about each request before the policy gets it, when the policy refuses one, and
+ * when a write ends that may have run without its client knowing. Only converts between the types
+ * of the two packages; all decisions are made there. Owned by the engine thread.
  */
 final class RetryStormFilter implements Storms.Out {
     private static final System.Logger LOG = System.getLogger(RetryStormFilter.class.getName());
-    private static final double US = 1e6;
-    // In a window, beside the share: a calm place needs a few.
-    private static final double FREE_RESENDS = 5;
-    private static final Duration BUDGET_WINDOW = Duration.ofSeconds(1);
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    /**
+     * Further attempts that a window always allows, besides the fraction of requests: with little
+     * traffic the fraction alone would allow hardly any.
+     */
+    private static final double FREE_ATTEMPTS_PER_WINDOW = 5;
+
+    private static final Duration ATTEMPT_BUDGET_WINDOW = Duration.ofSeconds(1);
 
     private final Counters counters;
     private final Storms storms;
-    private final Duration coldSpan;
+    private final Duration coldWindow;
     private Settings settings;
 
+    /**
+     * Creates the filter.
+     *
+     * @param coldWindow how long a request that was sent to a cold node counts against its limit
+     * @param now by {@link MonotonicClock}
+     */
     RetryStormFilter(
-            Terms terms, Settings settings, Duration coldSpan, Counters counters, Instant now) {
+            Terms terms, Settings settings, Duration coldWindow, Counters counters, Instant now) {
         this.counters = counters;
-        this.coldSpan = coldSpan;
+        this.coldWindow = coldWindow;
         storms = new Storms(terms, new SplittableRandom(settings.seed()), this, now);
         applySettings(settings);
     }
 
-    /** What was decided stands: a ledger is no setting. */
+    /** Takes new settings; earlier decisions, such as retry slots given to clients, stay valid. */
     void applySettings(Settings next) {
         settings = next;
         storms.longest(
@@ -53,26 +65,27 @@
                         : Duration.ZERO);
     }
 
-    /**
-     * Whether further attempts of our own are to be kept within what {@link #withAttemptBudget}
-     * allows.
-     */
+    /** Whether this instance's further attempts must keep to {@link #withAttemptBudget} now. */
     boolean isAttemptBudgetActive() {
         return storms.saving();
     }
 
-    /** The settings with a budget of further attempts, where they have no smaller one. */
-    static Settings withAttemptBudget(Settings told, Terms terms) {
-        return told.within(FREE_RESENDS, terms.secondTries(), Micros.of(BUDGET_WINDOW));
+    /** The settings with a budget of further attempts, unless they have one already. */
+    static Settings withAttemptBudget(Settings base, Terms terms) {
+        return base.within(
+                FREE_ATTEMPTS_PER_WINDOW, terms.secondTries(), Micros.of(ATTEMPT_BUDGET_WINDOW));
     }
 
-    /** Whether the module is not asked, as the request has its answer already. */
-    boolean tryReject(RequestTask<?> life, IoRequest request, Instant now) {
-        life.asTry = toStormRequest(request);
-        Storms.Decision decision = storms.arrived(life.asTry, now);
+    /**
+     * Answers a request that must not reach the scheduling policy; returns whether it did. A write
+     * that may have run before is failed, any other is refused with the time of its retry slot.
+     */
+    boolean tryReject(RequestTask<?> task, IoRequest request, Instant now) {
+        task.stormRequest = toStormRequest(request);
+        Storms.Decision decision = storms.arrived(task.stormRequest, now);
         switch (decision.answer()) {
-            case TURNED_AWAY -> life.signal(new RequestTask.Refuse(decision.comeBack()));
-            case IN_DOUBT -> life.signal(new RequestTask.Fail());
+            case TURNED_AWAY -> task.signal(new RequestTask.Refuse(decision.comeBack()));
+            case IN_DOUBT -> task.signal(new RequestTask.Fail());
             default -> {
                 return false;
             }
@@ -80,45 +93,50 @@
         return true;
     }
 
-    void served(RequestTask<?> life, Instant now) {
-        storms.served(life.asTry, now);
+    void served(RequestTask<?> task, Instant now) {
+        storms.served(task.stormRequest, now);
     }
 
-    /** The module refuses: when to come again. */
-    Duration refused(RequestTask<?> life, Duration advice, Instant now) {
-        return storms.refused(life.asTry, advice, now);
+    /** Reports that the policy refuses a request; returns when its client is to send it again. */
+    Duration refused(RequestTask<?> task, Duration advice, Instant now) {
+        return storms.refused(task.stormRequest, advice, now);
     }
 
     /**
-     * It is over for its client without an answer that says it ran; {@code out} where an attempt
-     * is.
+     * Records a request as uncertain if it may have run: it has ended for its client without an
+     * answer that says so.
+     *
+     * @param isInFlight whether an attempt of it is in flight
      */
-    void recordIfUncertain(RequestTask<?> life, boolean out, Instant now) {
-        if (life.asTry != null && (out || life.mayHaveRun)) {
-            storms.doubts().add(life.asTry, life.firstSent, now);
+    void recordIfUncertain(RequestTask<?> task, boolean isInFlight, Instant now) {
+        if (task.stormRequest != null && (isInFlight || task.mayHaveRun)) {
+            storms.doubts().add(task.stormRequest, task.firstSent, now);
         }
     }
 
-    /** What was still out when its client left has ended without running. */
-    void recordNeverRan(RequestTask<?> life) {
-        if (life.asTry != null && !life.mayHaveRun) {
-            storms.doubts().neverRan(life.asTry);
+    /** The attempt that was in flight when the client disconnected has ended without running. */
+    void recordNeverRan(RequestTask<?> task) {
+        if (task.stormRequest != null && !task.mayHaveRun) {
+            storms.doubts().neverRan(task.stormRequest);
         }
     }
 
-    /** Writes in doubt, for the next life of this instance. */
+    /** The uncertain writes, serialized for the next generation of this instance. */
     byte[] uncertainWrites(Instant now) {
         return storms.doubts().bytes(now);
     }
 
-    /** Takes those of the former life; where they are not known, all that could be in doubt is. */
-    void restoreUncertainWrites(Optional<byte[]> former, Instant now) {
-        former.ifPresentOrElse(storms.doubts()::restore, () -> storms.doubts().blind(now));
+    /**
+     * Restores the uncertain writes of the previous generation. Where they are not known, every
+     * write that could be uncertain is taken to be so.
+     */
+    void restoreUncertainWrites(Optional<byte[]> previous, Instant now) {
+        previous.ifPresentOrElse(storms.doubts()::restore, () -> storms.doubts().blind(now));
     }
 
     /**
-     * A request as one try of its client; of a class or plan that the settings lack nothing is
-     * known.
+     * The storm detector's form of a request. Where the settings lack its class or plan, the weight
+     * of its plan and the effect of its class get defaults.
      */
     Try toStormRequest(IoRequest request) {
         boolean known =
@@ -150,17 +168,22 @@
     }
 
     /**
-     * Takes what the module knows of the nodes, of which this instance may promise its part only.
+     * Passes on the speed of each shard as the scheduling policy sees it. Each instance counts only
+     * an even share of a shard's speed as its own, because all of them send to it.
      */
     void updateNodes(List<NodeView> views, Instant now) {
         Map<Integer, Speed> speeds = new HashMap<>();
         for (NodeView view : views) {
             if (view.ready() && !view.silent()) {
-                double bears =
+                double maxUnitsPerSecond =
                         view.coldRoom() == Double.MAX_VALUE
                                 ? Double.POSITIVE_INFINITY
-                                : view.coldRoom() / Math.max(coldSpan.toNanos() / 1e9, 1e-3);
-                speeds.put(view.shard(), new Speed(US / view.paceUs() / settings.heads(), bears));
+                                : view.coldRoom() / Math.max(coldWindow.toNanos() / 1e9, 1e-3);
+                speeds.put(
+                        view.shard(),
+                        new Speed(
+                                MICROS_PER_SECOND / view.paceUs() / settings.heads(),
+                                maxUnitsPerSecond));
             }
         }
         storms.speeds(speeds);
--- a/src/test/java/cypressglade/core/MailboxTest.java
+++ b/src/test/java/cypressglade/core/MailboxTest.java
@@ -15,55 +15,57 @@
 @Timeout(30)
 class MailboxTest {
     private static final Duration LONG = Duration.ofSeconds(20);
-    private final Mailbox<Integer> box = new Mailbox<>();
+    private final Mailbox<Integer> mailbox = new Mailbox<>();
 
     @Test
-    void givesWhatIsThereInOrderAndNothingAfterItsTime() throws Exception {
-        box.add(1);
-        box.add(2);
-        assertThat(box.poll(Duration.ZERO)).contains(1);
-        assertThat(box.poll(LONG)).contains(2);
-        assertThat(box.poll(Duration.ZERO)).isEmpty();
-        assertThat(box.poll(Duration.ofNanos(300))).isEmpty();
+    void pollReturnsItemsInOrderAndNothingAfterTheTimeout() throws Exception {
+        mailbox.add(1);
+        mailbox.add(2);
+        assertThat(mailbox.poll(Duration.ZERO)).contains(1);
+        assertThat(mailbox.poll(LONG)).contains(2);
+        assertThat(mailbox.poll(Duration.ZERO)).isEmpty();
+        assertThat(mailbox.poll(Duration.ofNanos(300))).isEmpty();
     }
 
-    /** A permit that is left over from another wait must not end this one. */
+    /** A park permit left over from another wait must not end this one. */
     @Test
-    void waitsOnThroughAWakeThatBroughtNothing() throws Exception {
-        Thread taker = Thread.currentThread();
-        LockSupport.unpark(taker);
+    void pollKeepsWaitingAfterASpuriousWakeup() throws Exception {
+        Thread consumer = Thread.currentThread();
+        LockSupport.unpark(consumer);
         CompletableFuture.runAsync(
                 () -> {
-                    LockSupport.unpark(taker);
-                    box.add(7);
+                    LockSupport.unpark(consumer);
+                    mailbox.add(7);
                 });
-        assertThat(box.poll(LONG)).contains(7);
+        assertThat(mailbox.poll(LONG)).contains(7);
     }
 
     @Test
-    void nothingIsLostBetweenManyThatAddAndOneWhoseWaitsRunOut() throws Exception {
-        int each = 5000;
-        List<CompletableFuture<Void>> adding =
+    void noItemIsLostBetweenManyProducersAndAConsumerWhoseWaitsTimeOut() throws Exception {
+        int itemsEach = 5000;
+        List<CompletableFuture<Void>> producers =
                 IntStream.range(0, 4)
-                        .mapToObj(from -> CompletableFuture.runAsync(() -> add(from, each)))
+                        .mapToObj(
+                                producer ->
+                                        CompletableFuture.runAsync(() -> add(producer, itemsEach)))
                         .toList();
-        List<Integer> got = new ArrayList<>();
-        while (got.size() < 4 * each) {
-            box.poll(Duration.ofNanos(20_000)).ifPresent(got::add);
+        List<Integer> received = new ArrayList<>();
+        while (received.size() < 4 * itemsEach) {
+            mailbox.poll(Duration.ofNanos(20_000)).ifPresent(received::add);
         }
-        adding.forEach(CompletableFuture::join);
-        assertThat(got).doesNotHaveDuplicates().hasSize(4 * each);
-        assertThat(got.stream().filter(item -> item < each)).isSorted();
+        producers.forEach(CompletableFuture::join);
+        assertThat(received).doesNotHaveDuplicates().hasSize(4 * itemsEach);
+        assertThat(received.stream().filter(item -> item < itemsEach)).isSorted();
     }
 
-    private void add(int from, int each) {
-        IntStream.range(0, each).forEach(i -> box.add(from * each + i));
+    private void add(int producer, int itemsEach) {
+        IntStream.range(0, itemsEach).forEach(i -> mailbox.add(producer * itemsEach + i));
     }
 
     @Test
-    void anInterruptEndsTheWait() {
+    void interruptEndsTheWait() {
         Thread.currentThread().interrupt();
-        assertThatThrownBy(() -> box.poll(LONG)).isInstanceOf(InterruptedException.class);
+        assertThatThrownBy(() -> mailbox.poll(LONG)).isInstanceOf(InterruptedException.class);
         assertThat(Thread.currentThread().isInterrupted()).isFalse();
     }
 }
--- a/src/test/java/cypressglade/core/NodeDirectoryTest.java
+++ b/src/test/java/cypressglade/core/NodeDirectoryTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** What is kept of nodes that are replaced all day long. */
+/** The state that is kept for nodes that are replaced again and again. */
 class NodeDirectoryTest {
     private static NodeList list(boolean full, String id, State state) {
         return new NodeList(
@@ -32,11 +32,9 @@
                                 Instant.EPOCH)));
     }
 
-    /**
-     * Guards against a table that grows with every replaced node; a number is never given twice.
-     */
+    /** Guards against tables that grow with every replaced node. No number is given twice. */
     @Test
-    void replacedNodesLeaveNothingBehind() {
+    void replacedNodesLeaveNoStateBehind() {
         NodeDirectory directory = new NodeDirectory();
         long last = 0;
         for (int i = 0; i < 1000; i++) {
@@ -48,9 +46,9 @@
         assertThat(directory.size()).isZero();
     }
 
-    /** Guards against the module keeping a node that went while it was down. */
+    /** Guards against the scheduling policy keeping a node that left the list while it was down. */
     @Test
-    void moduleForgetsANodeThatWentWhileItWasDown() throws Exception {
+    void policyRemovesANodeThatLeftTheListWhileItWasDown() throws Exception {
         AtomicInteger sends = new AtomicInteger();
         Brain brain =
                 new Brain(
@@ -73,7 +71,7 @@
         assertThat(brain.views(0)).isEmpty();
     }
 
-    /** Takes orders and does nothing about them. */
+    /** Counts the orders to send and ignores all others. */
     private record Orders(AtomicInteger sends) implements Scheduler.Actions {
         @Override
         public void send(long requestId, long node, long timeoutUs) {
--- a/src/test/java/cypressglade/core/RequestTaskTest.java
+++ b/src/test/java/cypressglade/core/RequestTaskTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cypressglade.core.NodeLink.Attempt;
+import cypressglade.core.NodeLink.AttemptResult;
 import cypressglade.core.Scheduler.Effect;
 import cypressglade.core.Scheduler.Limits;
 import cypressglade.core.Scheduler.Plan;
@@ -26,21 +27,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** One request through the core, with no wire at all. */
+/** One request through the core, without a front or a network. */
 class RequestTaskTest {
     private static final byte[] DATA = {1, 2, 3};
 
     private final Counters counters = new Counters();
     private final LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
-    private final LinkedBlockingQueue<Consumer<NodeLink.AttemptResult>> sent =
-            new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<Consumer<AttemptResult>> sent = new LinkedBlockingQueue<>();
     private final RequestPool pool = new RequestPool(2, 0, counters);
     private Engine engine;
     private volatile String answeredBy;
-    private volatile boolean failing;
-    private volatile BooleanSupplier wants;
+    private volatile boolean isLinkFailing;
+    private volatile BooleanSupplier isWanted;
 
-    private final Responder caller =
+    private final Responder responder =
             new Responder() {
                 @Override
                 public void serve(byte[] answer) {
@@ -68,19 +68,18 @@
                         String work,
                         Instant until,
                         BooleanSupplier wanted,
-                        Consumer<NodeLink.AttemptResult> ended) {
-                    if (failing) {
-                        throw new IllegalStateException("as an error of the machine would be");
+                        Consumer<AttemptResult> ended) {
+                    if (isLinkFailing) {
+                        throw new IllegalStateException("stands for an error of the machine");
                     }
-                    wants = wanted;
+                    isWanted = wanted;
                     sent.add(ended);
-                    return () ->
-                            ended.accept(NodeLink.AttemptResult.withoutResponse(Status.CANCELLED));
+                    return () -> ended.accept(AttemptResult.withoutResponse(Status.CANCELLED));
                 }
 
                 @Override
-                public void probe(long node, Consumer<NodeLink.AttemptResult> ended) {
-                    ended.accept(NodeLink.AttemptResult.withoutResponse(Status.OK));
+                public void probe(long node, Consumer<AttemptResult> ended) {
+                    ended.accept(AttemptResult.withoutResponse(Status.OK));
                 }
             };
 
@@ -149,28 +148,28 @@
         pool.close();
     }
 
-    private RequestTask<String> life(Duration time) {
+    private RequestTask<String> task(Duration time) {
         return new RequestTask<>(
                 engine,
                 counters,
                 new IoRequest(0, 0, 0, 1, false, true, 7, 8, 2, MonotonicClock.now().plus(time)),
                 "work",
-                caller,
+                responder,
                 link);
     }
 
     private void begin() {
-        assertThat(pool.start(life(Duration.ofSeconds(2)))).isTrue();
+        assertThat(pool.start(task(Duration.ofSeconds(2)))).isTrue();
     }
 
     /**
-     * Guards against requests with long deadlines that the kill at the end of a stop finds
-     * unanswered.
+     * Guards against requests with long deadlines that are still unanswered when the process is
+     * killed at the end of a stop.
      */
     @Test
-    void whatIsOpenWhenTheProgramMustEndIsAnsweredThen() throws Exception {
-        assertThat(pool.start(life(Duration.ofSeconds(60)))).isTrue();
-        assertThat(sent.poll(5, TimeUnit.SECONDS)).as("an attempt is out").isNotNull();
+    void openRequestIsAnsweredWhenTheProgramMustEnd() throws Exception {
+        assertThat(pool.start(task(Duration.ofSeconds(60)))).isTrue();
+        assertThat(sent.poll(5, TimeUnit.SECONDS)).as("an attempt is in flight").isNotNull();
         pool.stopAll();
         assertThat(answer()).isEqualTo("failed");
         cypressglade.standin.Site.await(() -> pool.openCount() == 0);
@@ -178,10 +177,10 @@
         assertThat(engine.requestLog().text()).contains("stopped: an attempt was out");
     }
 
-    /** Guards against a client that gets no answer since the thread of its request fails. */
+    /** Guards against a client that gets no answer because the thread of its request failed. */
     @Test
-    void whoseTaskFailsIsAnsweredAllTheSame() throws Exception {
-        failing = true;
+    void requestWhoseTaskFailsIsAnswered() throws Exception {
+        isLinkFailing = true;
         begin();
         assertThat(answer()).isEqualTo("failed");
         cypressglade.standin.Site.await(() -> pool.openCount() == 0);
@@ -191,7 +190,7 @@
         return answers.poll(5, TimeUnit.SECONDS);
     }
 
-    private Consumer<NodeLink.AttemptResult> attempt() throws InterruptedException {
+    private Consumer<AttemptResult> attempt() throws InterruptedException {
         return sent.poll(5, TimeUnit.SECONDS);
     }
 
@@ -212,13 +211,11 @@
         "FULL, refused, 2",
         "MOOT, refused, 1"
     })
-    void eachOutcomeHasItsOneAnswer(Status status, String expected, int attempts) throws Exception {
+    void eachOutcomeHasExactlyOneAnswer(Status status, String expected, int attempts)
+            throws Exception {
         begin();
         for (int i = 0; i < attempts; i++) {
-            attempt()
-                    .accept(
-                            new NodeLink.AttemptResult(
-                                    status, DATA, NodeLink.ResponseMetadata.NOTHING));
+            attempt().accept(new AttemptResult(status, DATA, NodeLink.ResponseMetadata.NOTHING));
         }
         assertThat(answer()).isEqualTo(expected);
         assertThat(answers).isEmpty();
@@ -226,94 +223,86 @@
     }
 
     @Test
-    void fullPoolRefusesAtOnce() throws Exception {
+    void fullPoolRejectsImmediately() throws Exception {
         begin();
         begin();
         attempt();
         attempt();
-        assertThat(pool.start(life(Duration.ofSeconds(2)))).isFalse();
+        assertThat(pool.start(task(Duration.ofSeconds(2)))).isFalse();
         assertThat(counters.get(Counters.Name.REFUSED_NO_ROOM)).isEqualTo(1);
     }
 
     /**
-     * Guards against the module waiting for ever on an attempt whose client left before it was
-     * made.
+     * Guards against the scheduling policy waiting for ever for an attempt that was never made
+     * because the client had left.
      */
     @Test
-    void nodeStaysUsableAfterClientsLeftEarly() throws Exception {
-        CountDownLatch left = new CountDownLatch(1);
-        engine.applySettings(
-                settings(false)); // no probe to wait for: the module orders an attempt at once
-        engine.readNodes(
-                views ->
-                        await(left)); // the module hears of none of them until all clients are gone
+    void nodeStaysUsableAfterClientsDisconnectEarly() throws Exception {
+        CountDownLatch allLeft = new CountDownLatch(1);
+        // Without probes the policy orders an attempt at once.
+        engine.applySettings(settings(false));
+        // Blocks the engine, so that the policy gets no request before all clients are gone.
+        engine.readNodes(statuses -> await(allLeft));
         for (int i = 0; i < 20; i++) {
-            RequestTask<String> life = life(Duration.ofSeconds(2));
-            pool.start(life);
-            life.clientDisconnected();
+            RequestTask<String> task = task(Duration.ofSeconds(2));
+            pool.start(task);
+            task.clientDisconnected();
         }
-        left.countDown();
+        allLeft.countDown();
         begin();
-        attempt()
-                .accept(
-                        new NodeLink.AttemptResult(
-                                Status.OK, DATA, NodeLink.ResponseMetadata.NOTHING));
+        attempt().accept(new AttemptResult(Status.OK, DATA, NodeLink.ResponseMetadata.NOTHING));
         assertThat(answer()).isEqualTo("served 3");
     }
 
     /**
-     * Guards against an attempt beginning between its client's leave and the task's hearing of it.
+     * Guards against an attempt that begins after its client has disconnected but before the task
+     * has received the signal.
      */
     @Test
-    void anAttemptIsWantedNoMoreAsSoonAsItsClientLeaves() throws Exception {
-        RequestTask<String> life = life(Duration.ofSeconds(2));
-        pool.start(life);
-        Consumer<NodeLink.AttemptResult> ended = attempt();
-        assertThat(wants.getAsBoolean()).isTrue();
-        life.clientDisconnected();
-        assertThat(wants.getAsBoolean()).isFalse();
-        ended.accept(NodeLink.AttemptResult.withoutResponse(Status.MOOT));
+    void attemptIsNotWantedOnceItsClientHasDisconnected() throws Exception {
+        RequestTask<String> task = task(Duration.ofSeconds(2));
+        pool.start(task);
+        Consumer<AttemptResult> ended = attempt();
+        assertThat(isWanted.getAsBoolean()).isTrue();
+        task.clientDisconnected();
+        assertThat(isWanted.getAsBoolean()).isFalse();
+        ended.accept(AttemptResult.withoutResponse(Status.MOOT));
         begin();
-        attempt()
-                .accept(
-                        new NodeLink.AttemptResult(
-                                Status.OK, DATA, NodeLink.ResponseMetadata.NOTHING));
+        attempt().accept(new AttemptResult(Status.OK, DATA, NodeLink.ResponseMetadata.NOTHING));
         assertThat(answer()).as("of the next request alone").isEqualTo("served 3");
         assertThat(answers).isEmpty();
     }
 
     /**
-     * Guards against the module losing an outcome since a late cancel was counted as an attempt.
+     * Guards against an outcome lost to the scheduling policy because a late cancel was counted as
+     * an attempt.
      */
     @Test
-    void cancelOfNothingCountsAsNoAttempt() throws Exception {
-        RequestTask<String> life = life(Duration.ofSeconds(2));
-        life.signal(new RequestTask.Cancel(0));
-        pool.start(life);
-        attempt().accept(NodeLink.AttemptResult.withoutResponse(Status.FULL));
-        attempt()
-                .accept(
-                        new NodeLink.AttemptResult(
-                                Status.OK, DATA, NodeLink.ResponseMetadata.NOTHING));
+    void cancelWithoutAnAttemptIsNotCountedAsOne() throws Exception {
+        RequestTask<String> task = task(Duration.ofSeconds(2));
+        task.signal(new RequestTask.Cancel(0));
+        pool.start(task);
+        attempt().accept(AttemptResult.withoutResponse(Status.FULL));
+        attempt().accept(new AttemptResult(Status.OK, DATA, NodeLink.ResponseMetadata.NOTHING));
         assertThat(answer()).isEqualTo("served 3");
     }
 
-    /** Guards against a request without an answer where the module says nothing. */
+    /** Guards against a request without an answer where the scheduling policy gives no order. */
     @Test
-    void silentModuleIsMadeUpForByTheDeadline() throws Exception {
+    void requestWithoutAnOrderIsFailedByItsDeadline() throws Exception {
         engine.close();
-        pool.start(life(Duration.ofMillis(20)));
+        pool.start(task(Duration.ofMillis(20)));
         pool.expireOverdue(MonotonicClock.now());
-        assertThat(answers).as("not before its time").isEmpty();
+        assertThat(answers).as("not before its deadline").isEmpty();
         pool.expireOverdue(MonotonicClock.now().plusSeconds(1));
         assertThat(answer()).isEqualTo("failed");
         assertThat(pool.openCount()).isZero();
         assertThat(counters.get(Counters.Name.ANSWERED_BY_DEADLINE)).isEqualTo(1);
     }
 
-    /** A refusal is answered where it is decided: no thread is taken, started or waited for. */
+    /** A refusal is answered on the engine thread: no other thread is started or waited for. */
     @Test
-    void aRequestThatIsRefusedTakesNoThread() throws Exception {
+    void refusedRequestUsesNoThread() throws Exception {
         RequestTask<String> unknown =
                 new RequestTask<>(
                         engine,
@@ -330,16 +319,13 @@
                                 2,
                                 MonotonicClock.now().plusSeconds(2)),
                         "work",
-                        caller,
+                        responder,
                         link);
         pool.start(unknown);
         assertThat(answer()).isEqualTo("refused");
         assertThat(answeredBy).isEqualTo("engine");
         begin();
-        attempt()
-                .accept(
-                        new NodeLink.AttemptResult(
-                                Status.OK, DATA, NodeLink.ResponseMetadata.NOTHING));
+        attempt().accept(new AttemptResult(Status.OK, DATA, NodeLink.ResponseMetadata.NOTHING));
         assertThat(answer()).isEqualTo("served 3");
         assertThat(answeredBy).isEqualTo("request");
     }
