--- a/src/main/java/cypressglade/core/Counters.java
+++ b/src/main/java/cypressglade/core/Counters.java
@@ -102,16 +102,19 @@
 
     private final Map<Name, LongAdder> counts = new EnumMap<>(Name.class);
 
+    /** Creates counters that are all zero. */
     public Counters() {
         for (Name name : Name.values()) {
             counts.put(name, new LongAdder());
         }
     }
 
+    /** Adds one. */
     public void add(Name name) {
         counts.get(name).increment();
     }
 
+    /** Adds {@code count}. */
     public void add(Name name, long count) {
         counts.get(name).add(count);
     }
@@ -121,6 +124,7 @@
         add(Name.valueOf("ENDED_" + status.name()));
     }
 
+    /** The count so far; additions of other threads meanwhile may be missing. */
     public long get(Name name) {
         return counts.get(name).sum();
     }
--- a/src/main/java/cypressglade/core/Micros.java
+++ b/src/main/java/cypressglade/core/Micros.java
@@ -18,6 +18,7 @@
         return span.toNanos() / 1000;
     }
 
+    /** The duration of so many microseconds. */
     public static Duration toDuration(long micros) {
         return Duration.of(micros, ChronoUnit.MICROS);
     }
--- a/src/main/java/cypressglade/core/MonotonicClock.java
+++ b/src/main/java/cypressglade/core/MonotonicClock.java
@@ -13,6 +13,7 @@
 
     private MonotonicClock() {}
 
+    /** The current time; comparable only with other times of this clock. */
     public static Instant now() {
         return START.plusNanos(System.nanoTime() - START_NANOS);
     }
--- a/src/main/java/cypressglade/core/NodeLink.java
+++ b/src/main/java/cypressglade/core/NodeLink.java
@@ -39,7 +39,9 @@
     /**
      * How an attempt or a probe ended.
      *
+     * @param status the outcome
      * @param answer the body of the response; empty unless the status is {@code OK}
+     * @param metadata what the response reported besides its body
      * @param latency how long the node took, without the delays of this program as far as the link
      *     can tell them apart; empty where it cannot
      */
@@ -50,6 +52,7 @@
             Optional<Duration> latency) {
         private static final byte[] NONE = {};
 
+        /** A result whose latency the link cannot tell. */
         public AttemptResult(Scheduler.Status status, byte[] answer, ResponseMetadata metadata) {
             this(status, answer, metadata, Optional.empty());
         }
@@ -85,6 +88,7 @@
      *     reported; empty where none was
      */
     record ResponseMetadata(int usePercentPlusOne, int unitsByOthers, float[] load) {
+        /** Nothing was reported. */
         public static final ResponseMetadata NOTHING = new ResponseMetadata(0, 0, new float[0]);
     }
 }
--- a/src/main/java/cypressglade/core/RequestTask.java
+++ b/src/main/java/cypressglade/core/RequestTask.java
@@ -92,6 +92,11 @@
     /** The process is about to be killed. */
     private record Stop() implements Signal {}
 
+    /**
+     * Creates a task that does nothing until {@link RequestPool#start}.
+     *
+     * @param work what {@code link} sends to a node for the request
+     */
     public RequestTask(
             Engine engine,
             Counters counters,
--- a/src/main/java/cypressglade/core/Retry.java
+++ b/src/main/java/cypressglade/core/Retry.java
@@ -16,8 +16,14 @@
 
     private Retry() {}
 
-    /** The operation to repeat. */
+    /**
+     * The operation to repeat.
+     *
+     * @param <T> what it returns
+     * @param <E> what it throws
+     */
     public interface Call<T, E extends Exception> {
+        /** Performs the operation once. */
         T call() throws E;
     }
 
