--- a/src/main/java/cypressglade/cli/LabCommand.java
+++ b/src/main/java/cypressglade/cli/LabCommand.java
@@ -7,7 +7,7 @@
 import cypressglade.lab.FaultScript;
 import cypressglade.lab.FaultScript.Step;
 import cypressglade.lab.ProcessFleet;
-import cypressglade.member.Timing;
+import cypressglade.member.SwimSettings;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -69,7 +69,7 @@
             throw new ConfigException(
                     "--script " + script + ": no such file; docs/operating-fleet.md has one");
         }
-        Bounds bounds = new Bounds(Timing.every(period), members);
+        Bounds bounds = new Bounds(SwimSettings.withPeriod(period), members);
         out.println(
                 "bounds: crash to dead everywhere "
                         + bounds.detect().toMillis()
--- a/src/main/java/cypressglade/cli/PeersCommand.java
+++ b/src/main/java/cypressglade/cli/PeersCommand.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import cypressglade.config.ConfigException;
 import cypressglade.config.PeersConfigParser;
-import cypressglade.learn.Word;
+import cypressglade.learn.NodeObservation;
 import cypressglade.member.Member;
 import cypressglade.peer.PeerReport;
 import cypressglade.peer.PeersConfig;
@@ -121,20 +121,20 @@
                 String.format(
                         "%n%-24s %-24s %9s %9s %10s %s%n",
                         "NODE", "TOLD BY", "AGE s", "SILENT s", "ms a UNIT", "ANSWERS"));
-        for (Word word : sorted(report.words())) {
+        for (NodeObservation word : sorted(report.words())) {
             table.append(
                     String.format(
                             Locale.ROOT,
                             "%-24s %-24s %9.1f %9s %10.2f %d%n",
-                            word.node(),
+                            word.nodeId(),
                             word.origin().name(),
                             seconds(word, report.at()),
-                            word.silent()
+                            word.isSilent()
                                     ? String.format(
                                             Locale.ROOT, "%.1f", word.silentFor().toMillis() / 1e3)
                                     : "-",
-                            word.paceUs() / 1e3,
-                            word.answers()));
+                            word.serviceTimePerUnitMicros() / 1e3,
+                            word.answerCount()));
         }
         table.append(String.format("%n"));
         for (Map.Entry<String, Long> figure : report.figures().entrySet()) {
@@ -143,11 +143,12 @@
         return table.toString();
     }
 
-    private static List<Word> sorted(List<Word> words) {
+    private static List<NodeObservation> sorted(List<NodeObservation> words) {
         return words.stream()
                 .sorted(
-                        Comparator.comparing(Word::node)
-                                .thenComparing(Word::at, Comparator.reverseOrder()))
+                        Comparator.comparing(NodeObservation::nodeId)
+                                .thenComparing(
+                                        NodeObservation::observedAt, Comparator.reverseOrder()))
                 .toList();
     }
 
@@ -155,7 +156,7 @@
         return member.state().name().toLowerCase(Locale.ROOT);
     }
 
-    private static double seconds(Word word, Instant now) {
+    private static double seconds(NodeObservation word, Instant now) {
         return word.age(now).toMillis() / 1e3;
     }
 
@@ -175,18 +176,18 @@
             }
             out.writeEndArray();
             out.writeArrayFieldStart("learned");
-            for (Word word : sorted(report.words())) {
+            for (NodeObservation word : sorted(report.words())) {
                 out.writeStartObject();
-                out.writeStringField("node", word.node());
+                out.writeStringField("node", word.nodeId());
                 out.writeStringField("told_by", word.origin().name());
                 out.writeNumberField("age_s", seconds(word, report.at()));
                 out.writeNumberField("silent_s", word.silentFor().toMillis() / 1e3);
-                out.writeNumberField("us_a_unit", word.paceUs());
-                out.writeNumberField("backlog_us", word.backlogUs());
-                out.writeNumberField("strain", word.strain());
-                out.writeNumberField("errors", word.errors());
-                out.writeNumberField("answers", word.answers());
-                out.writeNumberField("started_us", word.startedUs());
+                out.writeNumberField("us_a_unit", word.serviceTimePerUnitMicros());
+                out.writeNumberField("backlog_us", word.backlogMicros());
+                out.writeNumberField("strain", word.latencyRatio());
+                out.writeNumberField("errors", word.errorRatio());
+                out.writeNumberField("answers", word.answerCount());
+                out.writeNumberField("started_us", word.startedMicros());
                 out.writeEndObject();
             }
             out.writeEndArray();
--- a/src/main/java/cypressglade/config/PeersConfigParser.java
+++ b/src/main/java/cypressglade/config/PeersConfigParser.java
@@ -1,6 +1,6 @@
 package cypressglade.config;
 
-import cypressglade.member.Timing;
+import cypressglade.member.SwimSettings;
 import cypressglade.peer.KeyRing;
 import cypressglade.peer.PeersConfig;
 import cypressglade.peer.PeersConfig.Snapshots;
@@ -109,7 +109,7 @@
                     KeyRing.read(keyFile),
                     Duration.ofSeconds(values.whole("refresh_s", 1, MOST_SPAN_S, 5)),
                     values.flag("share_cold", "true"),
-                    Timing.every(
+                    SwimSettings.withPeriod(
                             Duration.ofMillis(
                                     values.whole(
                                             "period_ms", LEAST_PERIOD_MS, MOST_PERIOD_MS, 1000))),
--- a/src/main/java/cypressglade/fleet/Bounds.java
+++ b/src/main/java/cypressglade/fleet/Bounds.java
@@ -1,7 +1,7 @@
 package cypressglade.fleet;
 
 import cypressglade.member.LocalHealth;
-import cypressglade.member.Timing;
+import cypressglade.member.SwimSettings;
 import java.time.Duration;
 
 /**
@@ -13,7 +13,7 @@
  * @param timing the protocol's figures
  * @param members of the fleet, this one included
  */
-public record Bounds(Timing timing, int members) {
+public record Bounds(SwimSettings timing, int members) {
     /** Of the whole, by how much the real rig and the model may differ; the page says why. */
     public static final double AGREE = 0.5;
 
@@ -29,7 +29,9 @@
      * way there twice.
      */
     public Duration detect() {
-        return timing.period().multipliedBy(2L + 2L * rounds()).plus(timing.suspicion(members, 0));
+        return timing.period()
+                .multipliedBy(2L + 2L * rounds())
+                .plus(timing.suspicionTimeout(members, 0));
     }
 
     /**
@@ -42,7 +44,7 @@
         double probes =
                 Math.min(members - 1.0, (2 + Math.log(members)) * members / Math.max(1, side));
         return timing.period()
-                .multipliedBy((long) Math.ceil((LocalHealth.MOST + 1) * probes))
+                .multipliedBy((long) Math.ceil((LocalHealth.MAX_SCORE + 1) * probes))
                 .plus(detect());
     }
 
@@ -55,8 +57,8 @@
      */
     public Duration heal() {
         long news = (members + NEWS_A_PERIOD - 1) / NEWS_A_PERIOD;
-        return timing.reconnect()
-                .plus(timing.answer().multipliedBy(2))
+        return timing.reconnectInterval()
+                .plus(timing.ackTimeout().multipliedBy(2))
                 .plus(timing.period().multipliedBy(1L + 4L * rounds() + news));
     }
 
@@ -72,11 +74,13 @@
         double way = 1 - loss;
         double second = 1 - way * way;
         double third = second * second;
-        double answered = (1 + way) * (1 + second + third) + third * timing.helpers() * OF_A_HELPER;
-        return (1 - absent) * answered + absent * (PINGS + way + timing.helpers() * OF_A_HELPER);
+        double answered =
+                (1 + way) * (1 + second + third) + third * timing.indirectProbers() * OF_A_HELPER;
+        return (1 - absent) * answered
+                + absent * (PINGS + way + timing.indirectProbers() * OF_A_HELPER);
     }
 
     private int rounds() {
-        return Timing.log(members);
+        return SwimSettings.gossipRounds(members);
     }
 }
--- a/src/main/java/cypressglade/fleet/View.java
+++ b/src/main/java/cypressglade/fleet/View.java
@@ -54,7 +54,7 @@
     /** Takes a change of what is known of a member; the change as one line of JSON. */
     public String change(Member member, Instant now) {
         Seen before = seen.get(member.name());
-        boolean flap = before != null && !before.member.present() && member.present();
+        boolean flap = before != null && !before.member.isPresent() && member.isPresent();
         flaps += flap ? 1 : 0;
         changes++;
         changed = now;
@@ -75,7 +75,7 @@
         if (refused.size() >= MOST_REFUSALS) {
             refused.clear();
         }
-        if (!refused.add(known.name() + " " + known.life() + " " + claim.life())) {
+        if (!refused.add(known.name() + " " + known.generation() + " " + claim.generation())) {
             return "";
         }
         ObjectNode line = line("name_refused", now);
@@ -94,10 +94,10 @@
         ObjectNode line =
                 line("view", now)
                         .put("incarnation", swim.self().incarnation())
-                        .put("life", Long.toHexString(swim.self().life()))
+                        .put("life", Long.toHexString(swim.self().generation()))
                         .put("health", swim.health().score())
                         .put("stalls", swim.stalls())
-                        .put("names_refused", swim.namesRefused())
+                        .put("names_refused", swim.refusedNameClaims())
                         .put("changes", changes)
                         .put("flaps", flaps)
                         .put("settled_ms", Duration.between(changed, now).toMillis());
@@ -136,7 +136,7 @@
                 .put("name", member.name())
                 .put("address", at.getHostString() + ":" + at.getPort())
                 .put("incarnation", member.incarnation())
-                .put("life", Long.toHexString(member.life()))
+                .put("life", Long.toHexString(member.generation()))
                 .put("state", lower(member.state()))
                 .put("since_ms", Duration.between(one.since, now).toMillis())
                 .put("flaps", one.flaps);
--- a/src/main/java/cypressglade/lab/MemberLab.java
+++ b/src/main/java/cypressglade/lab/MemberLab.java
@@ -3,7 +3,7 @@
 import cypressglade.member.Member;
 import cypressglade.member.Member.State;
 import cypressglade.member.Swim;
-import cypressglade.member.Timing;
+import cypressglade.member.SwimSettings;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -25,9 +25,9 @@
 
     private static final int SETTLE_PERIODS = 30;
 
-    private final Timing timing;
+    private final SwimSettings timing;
 
-    public MemberLab(Timing timing) {
+    public MemberLab(SwimSettings timing) {
         this.timing = timing;
     }
 
@@ -122,7 +122,7 @@
         net.cut = (from, to) -> number(from) < side != number(to) < side;
         net.pass(
                 split.plus(
-                        timing.reconnect()
+                        timing.reconnectInterval()
                                 .multipliedBy(Math.floorMod(seed * 37, 100))
                                 .dividedBy(100)));
         net.cut = (from, to) -> false;
@@ -175,7 +175,7 @@
     }
 
     private static boolean presentOnItsSide(Swim swim, int side) {
-        return swim.present().stream()
+        return swim.presentMembers().stream()
                 .allMatch(member -> sameSide(member.name(), swim.self().name(), side));
     }
 
@@ -185,12 +185,12 @@
     }
 
     private static boolean allAlive(Swim swim) {
-        return swim.list().stream().allMatch(member -> member.state() == State.ALIVE);
+        return swim.members().stream().allMatch(member -> member.state() == State.ALIVE);
     }
 
     private static boolean present(Swim swim, String name) {
-        return swim.list().stream()
-                .anyMatch(member -> member.name().equals(name) && member.present());
+        return swim.members().stream()
+                .anyMatch(member -> member.name().equals(name) && member.isPresent());
     }
 
     /**
--- a/src/main/java/cypressglade/lab/MemberNet.java
+++ b/src/main/java/cypressglade/lab/MemberNet.java
@@ -4,7 +4,7 @@
 import cypressglade.member.Member.State;
 import cypressglade.member.Message;
 import cypressglade.member.Swim;
-import cypressglade.member.Timing;
+import cypressglade.member.SwimSettings;
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.time.Instant;
@@ -58,7 +58,7 @@
     /** Each change that any instance took in. */
     public final List<Change> changes = new ArrayList<>();
 
-    private final Timing timing;
+    private final SwimSettings timing;
     private final Random random;
     private final Map<InetSocketAddress, String> names = new LinkedHashMap<>();
     private final PriorityQueue<Event> events =
@@ -71,7 +71,7 @@
     /** What one instance took in of a member. */
     public record Change(Instant at, String seenBy, Member member) {}
 
-    public MemberNet(long seed, Timing timing) {
+    public MemberNet(long seed, SwimSettings timing) {
         random = new Random(seed);
         this.timing = timing;
     }
@@ -97,7 +97,7 @@
                         List.of(address(0)),
                         timing,
                         random,
-                        new Swim.Out() {
+                        new Swim.Callbacks() {
                             @Override
                             public void send(InetSocketAddress to, Message message) {
                                 bytes += size.applyAsInt(message);
@@ -113,7 +113,7 @@
                             }
 
                             @Override
-                            public void exchange(InetSocketAddress with) {
+                            public void exchangeMemberLists(InetSocketAddress with) {
                                 String there = names.get(with);
                                 if (asking.merge(name, 1, Integer::sum) > MOST_PULLS) {
                                     asking.merge(name, -1, Integer::sum);
@@ -133,15 +133,15 @@
                                                     && !cut.test(there, name)
                                                     && !stalled.containsKey(name)
                                                     && !stalled.containsKey(there)) {
-                                                List<Member> list = mine.list();
-                                                mine.merge(theirs.list(), now);
+                                                List<Member> list = mine.members();
+                                                mine.merge(theirs.members(), now);
                                                 theirs.merge(list, now);
                                             }
                                         });
                             }
 
                             @Override
-                            public void changed(Member member) {
+                            public void memberChanged(Member member) {
                                 changes.add(new Change(now, name, member));
                             }
                         },
@@ -153,14 +153,14 @@
 
     private void tick(String name, Swim swim) {
         after(
-                Duration.between(now, swim.due()).plusNanos(1),
+                Duration.between(now, swim.nextTickAt()).plusNanos(1),
                 () ->
                         at(
                                 name,
                                 () -> {
                                     if (running.get(name) == swim) {
                                         swim.tick(now);
-                                        if (swim.due().isBefore(Instant.MAX)) {
+                                        if (swim.nextTickAt().isBefore(Instant.MAX)) {
                                             tick(name, swim);
                                         }
                                     }
--- a/src/main/java/cypressglade/learn/Learner.java
+++ b/src/main/java/cypressglade/learn/Learner.java
@@ -54,14 +54,14 @@
     }
 
     private final Origin self;
-    private final Hearsay hearsay;
-    private Map<String, Word> own = new LinkedHashMap<>();
+    private final PeerObservations hearsay;
+    private Map<String, NodeObservation> own = new LinkedHashMap<>();
     private final Map<String, Given> given = new HashMap<>();
     private final Map<Origin, Double> standing = new LinkedHashMap<>();
     private final Map<Count, Long> counts = new EnumMap<>(Count.class);
 
     /** A hint that is not yet judged, or was. */
-    private record Given(Taught taught, Instant at, boolean judged) {}
+    private record Given(NodeHint taught, Instant at, boolean judged) {}
 
     /**
      * Nothing is known at first.
@@ -70,7 +70,7 @@
      */
     public Learner(Origin self, int mostNodes) {
         this.self = self;
-        this.hearsay = new Hearsay(mostNodes);
+        this.hearsay = new PeerObservations(mostNodes);
         for (Count count : Count.values()) {
             counts.put(count, 0L);
         }
@@ -87,9 +87,9 @@
     /**
      * Takes in what another told; each word was aged by its way before. Returns how many were new.
      */
-    public int take(List<Word> words, Instant now) {
+    public int receive(List<NodeObservation> words, Instant now) {
         int taken = 0;
-        for (Word word : words) {
+        for (NodeObservation word : words) {
             Count count = judge(word, now);
             counts.merge(count, 1L, Long::sum);
             taken += count == Count.WORDS_TAKEN ? 1 : 0;
@@ -97,15 +97,15 @@
         return taken;
     }
 
-    private Count judge(Word word, Instant now) {
-        if (word.origin().life() == self.life()) {
+    private Count judge(NodeObservation word, Instant now) {
+        if (word.origin().generation() == self.generation()) {
             return Count.WORDS_ECHOED; // what this instance said is no evidence to it
-        } else if (!word.plausible(now)) {
+        } else if (!word.isPlausible(now)) {
             return Count.WORDS_REFUSED;
-        } else if (word.age(now).compareTo(Trust.LIFE) > 0) {
+        } else if (word.age(now).compareTo(ObservationWeights.LIFE) > 0) {
             return Count.WORDS_AGED_OUT;
         }
-        return switch (hearsay.take(word)) {
+        return switch (hearsay.add(word)) {
             case TAKEN -> Count.WORDS_TAKEN;
             case KNOWN -> Count.WORDS_KNOWN;
             case NO_ROOM -> Count.WORDS_NO_ROOM;
@@ -113,37 +113,38 @@
     }
 
     /** Takes in the module's views: makes own words of them, and judges by them what was taught. */
-    public void own(List<NodeFact> facts, Instant now) {
-        counts.merge(Count.WORDS_AGED_OUT, (long) hearsay.forget(now), Long::sum);
-        Map<String, Word> words = new LinkedHashMap<>();
+    public void observe(List<NodeFact> facts, Instant now) {
+        counts.merge(Count.WORDS_AGED_OUT, (long) hearsay.removeExpired(now), Long::sum);
+        Map<String, NodeObservation> words = new LinkedHashMap<>();
         for (NodeFact fact : facts) {
             NodeView view = fact.view();
             String id = fact.known().id();
-            Word before = own.get(id);
+            NodeObservation before = own.get(id);
             if (!view.guarded() && view.silent()) {
                 Duration silentFor =
-                        before != null && before.silent()
+                        before != null && before.isSilent()
                                 ? before.silentFor().plus(before.age(now))
                                 : LEAST_SILENCE;
-                words.put(id, Word.own(id, view, silentFor, now, self));
+                words.put(id, NodeObservation.fromView(id, view, silentFor, now, self));
             } else if (!view.guarded() && view.answeredAgoUs() >= 0) {
                 Duration ago = Duration.ofNanos(view.answeredAgoUs() * 1000);
                 boolean fresh = ago.compareTo(FRESH) <= 0;
                 words.put(
                         id,
-                        fresh || before == null || before.startedUs() != view.startedUs()
-                                ? Word.own(id, view, Duration.ZERO, now.minus(ago), self)
+                        fresh || before == null || before.startedMicros() != view.startedUs()
+                                ? NodeObservation.fromView(
+                                        id, view, Duration.ZERO, now.minus(ago), self)
                                 : before);
             } else if (before != null
-                    && before.startedUs() == view.startedUs()
-                    && !(before.silent() && seenSince(before.at(), view, now))) {
+                    && before.startedMicros() == view.startedUs()
+                    && !(before.isSilent() && seenSince(before.observedAt(), view, now))) {
                 // The module holds a node for silent only while something is out there. Until a
                 // sign of life comes the word stands, at the age of what it was seen by.
                 words.put(id, before);
             }
             judge(fact);
         }
-        words.values().removeIf(word -> word.age(now).compareTo(Trust.LIFE) > 0);
+        words.values().removeIf(word -> word.age(now).compareTo(ObservationWeights.LIFE) > 0);
         own = words;
         given.keySet().retainAll(facts.stream().map(fact -> fact.known().id()).toList());
     }
@@ -162,7 +163,7 @@
         if (bothAnswer && view.answers() < ANSWERS_TO_JUDGE) {
             return; // the pace is judged by a few answers
         }
-        double ratio = view.paceUs() / hint.taught().paceUs();
+        double ratio = view.paceUs() / hint.taught().serviceTimePerUnitMicros();
         boolean held =
                 bothAnswer
                         ? ratio < HELD_FACTOR && ratio > 1 / HELD_FACTOR
@@ -170,7 +171,11 @@
         counts.merge(held ? Count.HINTS_CONFIRMED : Count.HINTS_CONTRADICTED, 1L, Long::sum);
         hint.taught()
                 .origins()
-                .forEach(origin -> standing.put(origin, Trust.after(standing(origin), held)));
+                .forEach(
+                        origin ->
+                                standing.put(
+                                        origin,
+                                        ObservationWeights.updatedTrust(standing(origin), held)));
         while (standing.size() > MOST_ORIGINS) {
             standing.remove(standing.keySet().iterator().next());
         }
@@ -182,21 +187,21 @@
     }
 
     /** What the module is to be told now; each call counts as told. */
-    public List<Taught> hints(List<NodeFact> facts, Instant now) {
+    public List<NodeHint> hints(List<NodeFact> facts, Instant now) {
         double average =
                 hearsay.all()
-                        .filter(word -> !word.silent())
-                        .mapToDouble(Word::paceUs)
+                        .filter(word -> !word.isSilent())
+                        .mapToDouble(NodeObservation::serviceTimePerUnitMicros)
                         .average()
                         .orElse(START_PACE_US);
-        List<Taught> hints = new ArrayList<>();
+        List<NodeHint> hints = new ArrayList<>();
         for (NodeFact fact : facts) {
             String id = fact.known().id();
-            if (!fact.view().ready() || hearsay.of(id).isEmpty()) {
+            if (!fact.view().ready() || hearsay.observationsOf(id).isEmpty()) {
                 continue;
             }
-            new Belief(hearsay.of(id), now, average, this::standing)
-                    .taught(id, fact.view().startedUs())
+            new HintEstimator(hearsay.observationsOf(id), now, average, this::standing)
+                    .hint(id, fact.view().startedUs())
                     .filter(taught -> isNews(taught, fact.view(), now))
                     .ifPresent(
                             taught -> {
@@ -209,9 +214,10 @@
     }
 
     /** Whether a belief tells more than the module knows and was told. */
-    private boolean isNews(Taught taught, NodeView view, Instant now) {
-        Given before = given.get(taught.node());
-        boolean colder = taught.startedUs() > (before == null ? 0 : before.taught().startedUs());
+    private boolean isNews(NodeHint taught, NodeView view, Instant now) {
+        Given before = given.get(taught.nodeId());
+        boolean colder =
+                taught.startedMicros() > (before == null ? 0 : before.taught().startedMicros());
         boolean ownKnowledge =
                 !view.guarded()
                         && (view.silent()
@@ -219,26 +225,26 @@
                                         && view.seenAgoUs() <= OWN_LIFE.toNanos() / 1000);
         boolean newer =
                 before == null
-                        || taught.newest().isAfter(before.taught().newest())
+                        || taught.newestObservedAt().isAfter(before.taught().newestObservedAt())
                                 && Duration.between(before.at(), now).compareTo(HINT_GAP) >= 0;
         Instant seen = view.seenAgoUs() < 0 ? Instant.MIN : now.minusNanos(view.seenAgoUs() * 1000);
-        return colder || !ownKnowledge && newer && taught.newest().isAfter(seen);
+        return colder || !ownKnowledge && newer && taught.newestObservedAt().isAfter(seen);
     }
 
     /**
      * What to tell others, the youngest first; a word of another goes on with its origin and its
      * age.
      */
-    public List<Word> words(Instant now, int most) {
+    public List<NodeObservation> observations(Instant now, int most) {
         return Stream.concat(own.values().stream(), hearsay.all())
-                .filter(word -> word.age(now).compareTo(Trust.LIFE) <= 0)
-                .sorted(Comparator.comparing(Word::at).reversed())
+                .filter(word -> word.age(now).compareTo(ObservationWeights.LIFE) <= 0)
+                .sorted(Comparator.comparing(NodeObservation::observedAt).reversed())
                 .limit(most)
                 .toList();
     }
 
     /** How many words of others are kept. */
-    public int kept() {
+    public int peerObservationCount() {
         return hearsay.size();
     }
 }
--- a/src/main/java/cypressglade/learn/Trust.java
+++ b/src/main/java/cypressglade/learn/ObservationWeights.java
@@ -7,7 +7,7 @@
  * is silent costs one probe where it is wrong, so it is held long; how quick a node is changes
  * seldom.
  */
-final class Trust {
+final class ObservationWeights {
     /** A word that a node answers outweighs an older word of silence for so long. */
     static final Duration HEALTHY_LIFE = Duration.ofSeconds(5);
 
@@ -32,15 +32,15 @@
     private static final double LEAST = 0.05;
     private static final double STEP = 0.3;
 
-    private Trust() {}
+    private ObservationWeights() {}
 
     /** From 1 for something just found towards 0, halved with each {@code half}. */
-    static double kept(Duration age, Duration half) {
+    static double ageWeight(Duration age, Duration half) {
         return Math.pow(2, -(double) age.toNanos() / half.toNanos());
     }
 
     /** What few answers tell is chance in part. */
-    static double byAnswers(int answers) {
+    static double answerCountWeight(int answers) {
         return Math.min(1, (answers + 1) / (ENOUGH_ANSWERS + 1));
     }
 
@@ -48,7 +48,7 @@
      * How far an origin is believed after one more of its words held or did not; never quite to
      * nothing.
      */
-    static double after(double before, boolean held) {
+    static double updatedTrust(double before, boolean held) {
         return Math.max(LEAST, before + STEP * ((held ? 1 : 0) - before));
     }
 }
--- a/src/main/java/cypressglade/learn/Origin.java
+++ b/src/main/java/cypressglade/learn/Origin.java
@@ -5,4 +5,4 @@
  * what an instance said before its restart is hearsay to it, and what comes back of its present
  * life is an echo.
  */
-public record Origin(String name, long life) {}
+public record Origin(String name, long generation) {}
--- a/src/main/java/cypressglade/learn/Hearsay.java
+++ b/src/main/java/cypressglade/learn/PeerObservations.java
@@ -13,11 +13,11 @@
  * Nothing is merged here: a word keeps its origin and its age through all hands, so that it can be
  * weighed anew at any time and never looks younger than it is.
  */
-final class Hearsay {
+final class PeerObservations {
     static final int ORIGINS = 3;
 
     private final int mostNodes;
-    private final Map<String, List<Word>> byNode = new HashMap<>();
+    private final Map<String, List<NodeObservation>> byNode = new HashMap<>();
 
     /** What became of a word. */
     enum Result {
@@ -26,24 +26,24 @@
         NO_ROOM
     }
 
-    Hearsay(int mostNodes) {
+    PeerObservations(int mostNodes) {
         this.mostNodes = mostNodes;
     }
 
     /** Takes a word that was checked. */
-    Result take(Word word) {
-        List<Word> words = byNode.get(word.node());
+    Result add(NodeObservation word) {
+        List<NodeObservation> words = byNode.get(word.nodeId());
         if (words == null) {
             if (byNode.size() >= mostNodes) {
                 return Result.NO_ROOM;
             }
-            byNode.put(word.node(), new ArrayList<>(List.of(word)));
+            byNode.put(word.nodeId(), new ArrayList<>(List.of(word)));
             return Result.TAKEN;
         }
         // One instance has one view of a node, through all of its lives: its latest.
         for (int i = 0; i < words.size(); i++) {
             if (words.get(i).origin().name().equals(word.origin().name())) {
-                if (!word.at().isAfter(words.get(i).at())) {
+                if (!word.observedAt().isAfter(words.get(i).observedAt())) {
                     return Result.KNOWN;
                 }
                 words.set(i, word);
@@ -51,8 +51,11 @@
             }
         }
         if (words.size() >= ORIGINS) {
-            Word oldest = words.stream().min(Comparator.comparing(Word::at)).orElseThrow();
-            if (!word.at().isAfter(oldest.at())) {
+            NodeObservation oldest =
+                    words.stream()
+                            .min(Comparator.comparing(NodeObservation::observedAt))
+                            .orElseThrow();
+            if (!word.observedAt().isAfter(oldest.observedAt())) {
                 return Result.KNOWN;
             }
             words.remove(oldest);
@@ -61,19 +64,24 @@
         return Result.TAKEN;
     }
 
-    List<Word> of(String node) {
+    List<NodeObservation> observationsOf(String node) {
         return byNode.getOrDefault(node, List.of());
     }
 
-    Stream<Word> all() {
+    Stream<NodeObservation> all() {
         return byNode.values().stream().flatMap(List::stream);
     }
 
     /** Forgets what is too old; returns how many words that were. */
-    int forget(Instant now) {
+    int removeExpired(Instant now) {
         int before = size();
         byNode.values()
-                .forEach(words -> words.removeIf(word -> word.age(now).compareTo(Trust.LIFE) > 0));
+                .forEach(
+                        words ->
+                                words.removeIf(
+                                        word ->
+                                                word.age(now).compareTo(ObservationWeights.LIFE)
+                                                        > 0));
         byNode.values().removeIf(List::isEmpty);
         return before - size();
     }
--- a/src/main/java/cypressglade/member/Rumours.java
+++ b/src/main/java/cypressglade/member/GossipQueue.java
@@ -15,9 +15,9 @@
  * crashed one dead after 52 s, the median after 9 s). Kept in that order, so that a message takes
  * its news in time by how many it takes, not by how many wait.
  */
-final class Rumours {
+final class GossipQueue {
     private static final Comparator<Rumour> ORDER =
-            Comparator.comparing((Rumour rumour) -> rumour.news.by().isEmpty())
+            Comparator.comparing((Rumour rumour) -> rumour.news.reportedBy().isEmpty())
                     .thenComparingInt((Rumour rumour) -> rumour.told)
                     .thenComparing(
                             Comparator.comparingLong((Rumour rumour) -> rumour.number).reversed());
@@ -27,18 +27,18 @@
     private long order;
 
     private static final class Rumour {
-        private final News news;
+        private final MemberUpdate news;
         private final long number;
         private int told;
 
-        private Rumour(News news, long number) {
+        private Rumour(MemberUpdate news, long number) {
             this.news = news;
             this.number = number;
         }
     }
 
     /** Takes the place of what was told of the same member before. */
-    void add(News news) {
+    void add(MemberUpdate news) {
         Rumour fresh = new Rumour(news, ++order);
         Rumour before = byName.put(news.member().name(), fresh);
         if (before != null) {
@@ -48,12 +48,12 @@
     }
 
     /** What goes with the next message; counts as told. */
-    List<News> next(int most, int times) {
+    List<MemberUpdate> next(int most, int times) {
         List<Rumour> first = new ArrayList<>(most);
         while (first.size() < most && !waiting.isEmpty()) {
             first.add(waiting.pollFirst());
         }
-        List<News> news = new ArrayList<>(first.size());
+        List<MemberUpdate> news = new ArrayList<>(first.size());
         for (Rumour rumour : first) {
             news.add(rumour.news);
             if (++rumour.told >= times) {
--- a/src/main/java/cypressglade/member/LocalHealth.java
+++ b/src/main/java/cypressglade/member/LocalHealth.java
@@ -15,18 +15,18 @@
      * side of a split, whose probes mostly fail, takes more than 40 periods to its verdicts. A
      * pause is seen by its own clock.
      */
-    public static final int MOST = 3;
+    public static final int MAX_SCORE = 3;
 
     private int score;
     private long raised;
 
-    /** 0 for a member that has missed nothing lately, up to {@link #MOST}. */
+    /** 0 for a member that has missed nothing lately, up to {@link #MAX_SCORE}. */
     public int score() {
         return score;
     }
 
     /** How often the score went up since the start. */
-    public long raised() {
+    public long increases() {
         return raised;
     }
 
@@ -38,7 +38,7 @@
     }
 
     /** A probe of this member's came back answered. */
-    public void answered() {
+    public void probeAnswered() {
         score = Math.max(0, score - 1);
     }
 
@@ -61,7 +61,7 @@
     }
 
     private void raise() {
-        if (score < MOST) {
+        if (score < MAX_SCORE) {
             score++;
             raised++;
         }
--- a/src/main/java/cypressglade/member/Census.java
+++ b/src/main/java/cypressglade/member/RecentMembers.java
@@ -10,15 +10,15 @@
  * side of a partition, and two halves that each took the whole would send a cold node twice what it
  * can take.
  */
-public final class Census {
+public final class RecentMembers {
     private final String self;
     private final Duration hold;
     private final TreeMap<String, Instant> seen = new TreeMap<>();
 
     /** This one's rank among so many. */
-    public record Share(int rank, int heads) {}
+    public record Share(int rank, int instances) {}
 
-    public Census(String self, Duration hold) {
+    public RecentMembers(String self, Duration hold) {
         this.self = self;
         this.hold = hold;
     }
@@ -27,9 +27,9 @@
      * Takes in who is there now, this one among them or not; who left in order no longer counts at
      * once.
      */
-    public Share count(Iterable<Member> members, Instant now) {
+    public Share update(Iterable<Member> members, Instant now) {
         for (Member member : members) {
-            if (member.present()) {
+            if (member.isPresent()) {
                 seen.put(member.name(), now);
             } else if (member.state() == Member.State.LEFT) {
                 seen.remove(member.name());
--- a/src/main/java/cypressglade/member/ReplayGuard.java
+++ b/src/main/java/cypressglade/member/ReplayGuard.java
@@ -23,7 +23,7 @@
     /** What a message is. */
     public enum Verdict {
         FRESH,
-        UNKNOWN_LIFE,
+        UNKNOWN_GENERATION,
         REPLAYED
     }
 
@@ -48,19 +48,19 @@
     }
 
     /** The number of the next message that goes out. */
-    public long next() {
+    public long nextSequenceNumber() {
         return ++lastNumber;
     }
 
     /** The life to name in a message there; 0 where it is not known. */
-    public long lifeAt(InetSocketAddress to) {
+    public long generationAt(InetSocketAddress to) {
         return lives.getOrDefault(to, 0L);
     }
 
     /** Judges a message whose signature is good, and marks its number as seen. */
     public Verdict check(InetSocketAddress at, long from, long to, long number) {
         if (to != self) {
-            return Verdict.UNKNOWN_LIFE;
+            return ReplayGuard.Verdict.UNKNOWN_GENERATION;
         }
         Window window = windows.computeIfAbsent(from, life -> new Window());
         long behind = window.highest - number;
--- a/src/main/java/cypressglade/member/Swim.java
+++ b/src/main/java/cypressglade/member/Swim.java
@@ -17,9 +17,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One instance's side of the membership protocol. Its owner calls {@link #tick} when {@link #due}
- * has come and {@link #receive} for each message; both may send through {@link Out}. Not safe for
- * use by several threads.
+ * One instance's side of the membership protocol. Its owner calls {@link #tick} when {@link
+ * #nextTickAt} has come and {@link #receive} for each message; both may send through {@link
+ * Swim.Callbacks}. Not safe for use by several threads.
  *
  * <p>Each period one member is pinged, in an order shuffled anew each round, so that each is pinged
  * once in a round (SWIM, 4.3). Who does not answer is asked for through others; who answers none of
@@ -36,13 +36,13 @@
     private static final int TOLD_ON_LEAVING = 8;
     private static final int MOST_LOST = 64;
 
-    private final Timing timing;
+    private final SwimSettings timing;
     private final RandomGenerator random;
-    private final Out out;
+    private final Swim.Callbacks out;
     private final List<InetSocketAddress> seeds;
     private final Map<String, Entry> others = new LinkedHashMap<>();
     private final List<String> round = new ArrayList<>();
-    private final Rumours rumours = new Rumours();
+    private final GossipQueue rumours = new GossipQueue();
     private final Map<Long, Relay> relays = new LinkedHashMap<>();
     private final LocalHealth health = new LocalHealth();
     private Member self;
@@ -59,24 +59,24 @@
     private long stalls;
 
     /** Where it all goes. */
-    public interface Out {
+    public interface Callbacks {
         void send(InetSocketAddress to, Message message);
 
         /**
-         * Both sides are to hand each other their whole lists: {@link Swim#list} and {@link
+         * Both sides are to hand each other their whole lists: {@link Swim#members} and {@link
          * Swim#merge}.
          */
-        void exchange(InetSocketAddress with);
+        void exchangeMemberLists(InetSocketAddress with);
 
         /** What is known of a member has changed. */
-        void changed(Member member);
+        void memberChanged(Member member);
 
         /**
          * Word of {@code claim} was not taken: its name is in use by {@code known}, another
          * process. Where that name is this member's own, either the claim or {@code known} is this
          * member.
          */
-        default void refused(Member known, Member claim) {
+        default void nameClaimRefused(Member known, Member claim) {
             // nothing by default; the owner logs it
         }
     }
@@ -130,9 +130,9 @@
     public Swim(
             Member self,
             List<InetSocketAddress> seeds,
-            Timing timing,
+            SwimSettings timing,
             RandomGenerator random,
-            Out out,
+            Swim.Callbacks out,
             Instant now) {
         this.self = self;
         this.seeds = seeds.stream().filter(seed -> !seed.equals(self.address())).toList();
@@ -143,7 +143,7 @@
         nextGossip = now;
         nextJudge = now;
         nextReconnect = now;
-        nextExchange = now.plus(timing.exchange(1));
+        nextExchange = now.plus(timing.exchangeInterval(1));
     }
 
     public Member self() {
@@ -151,29 +151,32 @@
     }
 
     /** Everyone who is known, this instance first. */
-    public List<Member> list() {
+    public List<Member> members() {
         List<Member> list = new ArrayList<>(List.of(self));
         others.values().forEach(entry -> list.add(entry.member));
         return list;
     }
 
     /** Others that count as running. */
-    public List<Member> present() {
-        return others.values().stream().map(entry -> entry.member).filter(Member::present).toList();
+    public List<Member> presentMembers() {
+        return others.values().stream()
+                .map(entry -> entry.member)
+                .filter(Member::isPresent)
+                .toList();
     }
 
     /** How often another instance spoke under this one's name. */
-    public long conflicts() {
+    public long nameConflicts() {
         return conflicts;
     }
 
     /** How many members there was no room for. */
-    public long turnedAway() {
+    public long rejectedMembers() {
         return turnedAway;
     }
 
     /** How often word of another process under a name in use was not taken. */
-    public long namesRefused() {
+    public long refusedNameClaims() {
         return namesRefused;
     }
 
@@ -188,7 +191,7 @@
     }
 
     /** When the next tick is wanted. */
-    public Instant due() {
+    public Instant nextTickAt() {
         Instant due = nextProbe.isBefore(nextReconnect) ? nextProbe : nextReconnect;
         due = nextGossip.isBefore(due) ? nextGossip : due;
         due = nextJudge.isBefore(due) ? nextJudge : due;
@@ -204,7 +207,7 @@
         if (self.state() == State.LEFT) {
             return;
         }
-        Duration late = Duration.between(due(), now);
+        Duration late = Duration.between(nextTickAt(), now);
         if (late.compareTo(timing.period()) > 0) {
             stoodStill(late);
         }
@@ -220,7 +223,7 @@
         }
         if (!now.isBefore(
                 nextGossip)) { // a slow member's probes are far apart, its news must not be
-            pick(present(), 1, Set.of())
+            pick(presentMembers(), 1, Set.of())
                     .forEach(to -> send(to.address(), to.name(), Kind.ACK, 0, "", null));
             nextGossip = now.plus(timing.period());
         }
@@ -230,12 +233,13 @@
             nextJudge = now.plus(timing.period());
         }
         if (!now.isBefore(nextExchange)) {
-            pick(present(), 1, Set.of()).forEach(member -> out.exchange(member.address()));
-            nextExchange = now.plus(timing.exchange(others.size()));
+            pick(presentMembers(), 1, Set.of())
+                    .forEach(member -> out.exchangeMemberLists(member.address()));
+            nextExchange = now.plus(timing.exchangeInterval(others.size()));
         }
         if (!now.isBefore(nextReconnect)) {
             reconnect();
-            nextReconnect = now.plus(timing.reconnect());
+            nextReconnect = now.plus(timing.reconnectInterval());
         }
     }
 
@@ -259,28 +263,33 @@
         if (self.state() == State.LEFT) {
             return;
         }
-        String sender = message.news().isEmpty() ? "" : message.news().get(0).member().name();
+        String sender = message.updates().isEmpty() ? "" : message.updates().get(0).member().name();
         Entry teller = others.get(sender);
-        boolean across = teller != null && !teller.member.present();
+        boolean across = teller != null && !teller.member.isPresent();
         if (teller != null) {
             teller.heard = now;
         }
-        message.news().forEach(news -> apply(doubted(news, across, now), now));
+        message.updates().forEach(news -> apply(doubted(news, across, now), now));
         switch (message.kind()) {
             case PING -> {
                 if (message.target().isEmpty() || message.target().equals(self.name())) {
-                    send(from, sender, Kind.ACK, message.number(), "", null);
+                    send(from, sender, Kind.ACK, message.sequenceNumber(), "", null);
                 }
             }
-            case PING_FOR -> {
-                if (relays.size() < MOST_RELAYS && message.targetAt() != null) {
+            case PING_REQ -> {
+                if (relays.size() < MOST_RELAYS && message.targetAddress() != null) {
                     long number = ++lastNumber;
-                    Instant nackAt = now.plusNanos((long) (NACK_PART * timing.answer().toNanos()));
+                    Instant nackAt =
+                            now.plusNanos((long) (NACK_PART * timing.ackTimeout().toNanos()));
                     relays.put(
                             number,
-                            new Relay(from, message.number(), now.plus(timing.period()), nackAt));
+                            new Relay(
+                                    from,
+                                    message.sequenceNumber(),
+                                    now.plus(timing.period()),
+                                    nackAt));
                     send(
-                            message.targetAt(),
+                            message.targetAddress(),
                             message.target(),
                             Kind.PING,
                             number,
@@ -289,16 +298,16 @@
                 }
             }
             case ACK -> {
-                Relay relay = relays.remove(message.number());
+                Relay relay = relays.remove(message.sequenceNumber());
                 if (relay != null) {
                     send(relay.asker, "", Kind.ACK, relay.number, "", null);
-                } else if (probe != null && probe.number == message.number()) {
+                } else if (probe != null && probe.number == message.sequenceNumber()) {
                     probe = null;
-                    health.answered();
+                    health.probeAnswered();
                 }
             }
             case NACK -> {
-                if (probe != null && probe.number == message.number()) {
+                if (probe != null && probe.number == message.sequenceNumber()) {
                     probe = probe.nacked();
                 }
             }
@@ -312,7 +321,7 @@
      * dead, and who is there can say so before anybody takes it for dead again.
      */
     public void merge(Collection<Member> members, Instant now) {
-        members.forEach(member -> apply(doubted(new News(member, ""), true, now), now));
+        members.forEach(member -> apply(doubted(new MemberUpdate(member, ""), true, now), now));
     }
 
     /**
@@ -321,25 +330,25 @@
      * takes: a verdict that was told within one side of a split still travels when it heals, and
      * would make whoever hears it flap.
      */
-    private News doubted(News news, boolean across, Instant now) {
+    private MemberUpdate doubted(MemberUpdate news, boolean across, Instant now) {
         Member told = news.member();
         Entry entry = told.state() == State.DEAD ? others.get(told.name()) : null;
         boolean doubt =
                 entry != null
-                        && entry.member.present()
+                        && entry.member.isPresent()
                         && (across
                                 || entry.heard.isAfter(
                                         now.minus(
-                                                timing.suspicion(
-                                                        others.size(), Timing.SHARED_BY))));
-        return doubt ? new News(told.as(State.SUSPECT), news.by()) : news;
+                                                timing.suspicionTimeout(
+                                                        others.size(), SwimSettings.SHARED_BY))));
+        return doubt ? new MemberUpdate(told.withState(State.SUSPECT), news.reportedBy()) : news;
     }
 
     /** Leaves in order, so that nobody has to suspect this instance. */
     public void leave(Instant now) {
         if (self.state() != State.LEFT) {
-            List<Member> told = pick(present(), TOLD_ON_LEAVING, Set.of());
-            self = self.reborn(self.incarnation() + 1).as(State.LEFT);
+            List<Member> told = pick(presentMembers(), TOLD_ON_LEAVING, Set.of());
+            self = self.aliveWithIncarnation(self.incarnation() + 1).withState(State.LEFT);
             told.forEach(member -> send(member.address(), member.name(), Kind.ACK, 0, "", null));
             nextProbe = nextGossip = nextJudge = nextReconnect = nextExchange = Instant.MAX;
             probe = null;
@@ -351,17 +360,18 @@
     private void startProbe(Instant now) {
         relays.values().removeIf(relay -> relay.until.isBefore(now));
         if (round.isEmpty()) {
-            present().forEach(member -> round.add(random.nextInt(round.size() + 1), member.name()));
+            presentMembers()
+                    .forEach(member -> round.add(random.nextInt(round.size() + 1), member.name()));
         }
         while (!round.isEmpty()) {
             Entry entry = others.get(round.remove(round.size() - 1));
-            if (entry != null && entry.member.present()) {
+            if (entry != null && entry.member.isPresent()) {
                 Member target = entry.member;
                 probe =
                         new Probe(
                                 ++lastNumber,
                                 target.name(),
-                                now.plus(health.scale(timing.answer())),
+                                now.plus(health.scale(timing.ackTimeout())),
                                 1,
                                 0,
                                 0);
@@ -376,7 +386,7 @@
                 new Probe(
                         probe.number,
                         probe.target,
-                        now.plus(health.scale(timing.answer())),
+                        now.plus(health.scale(timing.ackTimeout())),
                         probe.tries + 1,
                         probe.helpers,
                         probe.nacks);
@@ -386,7 +396,8 @@
         }
         send(target.member.address(), probe.target, Kind.PING, probe.number, probe.target, null);
         if (probe.tries > Probe.DIRECT) {
-            List<Member> helpers = pick(present(), timing.helpers(), Set.of(probe.target));
+            List<Member> helpers =
+                    pick(presentMembers(), timing.indirectProbers(), Set.of(probe.target));
             probe =
                     new Probe(
                             probe.number,
@@ -399,7 +410,7 @@
                 send(
                         helper.address(),
                         helper.name(),
-                        Kind.PING_FOR,
+                        Message.Kind.PING_REQ,
                         probe.number,
                         probe.target,
                         target.member.address());
@@ -428,8 +439,8 @@
             }
         }
         probe = null;
-        if (target != null && target.member.present()) {
-            apply(new News(target.member.as(State.SUSPECT), self.name()), now);
+        if (target != null && target.member.isPresent()) {
+            apply(new MemberUpdate(target.member.withState(State.SUSPECT), self.name()), now);
         }
     }
 
@@ -447,15 +458,19 @@
                                 dead.add(entry);
                             }
                             return member.state() == State.LEFT
-                                            && entry.since.plus(timing.keepDead()).isBefore(now)
+                                            && entry.since
+                                                    .plus(timing.leftRetention())
+                                                    .isBefore(now)
                                     || member.state() == State.DEAD
-                                            && entry.since.plus(timing.keepLost()).isBefore(now);
+                                            && entry.since
+                                                    .plus(timing.deadRetention())
+                                                    .isBefore(now);
                         });
         for (Entry entry : accused) {
             if (!entry.since
-                    .plus(timing.suspicion(others.size(), entry.accusers.size() - 1))
+                    .plus(timing.suspicionTimeout(others.size(), entry.accusers.size() - 1))
                     .isAfter(now)) {
-                apply(new News(entry.member.as(State.DEAD), self.name()), now);
+                apply(new MemberUpdate(entry.member.withState(State.DEAD), self.name()), now);
             }
         }
         if (dead.size() > MOST_LOST) {
@@ -471,7 +486,7 @@
      */
     private void reconnect() {
         Set<InetSocketAddress> known = new HashSet<>();
-        present().forEach(member -> known.add(member.address()));
+        presentMembers().forEach(member -> known.add(member.address()));
         List<InetSocketAddress> lost = new ArrayList<>(seeds);
         others.values().stream()
                 .filter(entry -> entry.member.state() == State.DEAD)
@@ -510,21 +525,22 @@
             long number,
             String target,
             InetSocketAddress targetAt) {
-        List<News> news = new ArrayList<>(List.of(new News(self, self.name())));
+        List<MemberUpdate> news = new ArrayList<>(List.of(new MemberUpdate(self, self.name())));
         Entry receiver = others.get(name);
         if (receiver != null && receiver.member.state() != State.ALIVE) {
             news.add(
-                    new News(
+                    new MemberUpdate(
                             receiver.member,
                             self.name())); // it can only clear itself of what it knows
         }
-        news.addAll(rumours.next(Timing.MOST_NEWS, timing.passOn(others.size() + 1)));
+        news.addAll(
+                rumours.next(SwimSettings.MOST_NEWS, timing.maxTransmissions(others.size() + 1)));
         out.send(to, new Message(kind, number, target, targetAt, news));
     }
 
     // ---- what is told
 
-    private void apply(News news, Instant now) {
+    private void apply(MemberUpdate news, Instant now) {
         Member told = news.member();
         if (told.name().equals(self.name())) {
             applyToSelf(told);
@@ -532,19 +548,19 @@
         }
         Entry entry = others.get(told.name());
         if (entry != null
-                && told.present()
-                && told.life() != entry.member.life()
-                && entry.member.present()
+                && told.isPresent()
+                && told.generation() != entry.member.generation()
+                && entry.member.isPresent()
                 && !told.address().equals(entry.member.address())) {
             // another process under a name in use; a restart comes at the same address
             namesRefused++;
-            out.refused(entry.member, told);
+            out.nameClaimRefused(entry.member, told);
             return;
         }
         if (entry == null) {
-            if (!told.present()) {
+            if (!told.isPresent()) {
                 return; // who is gone need not be known
-            } else if (others.size() >= timing.mostMembers()) {
+            } else if (others.size() >= timing.maxMembers()) {
                 turnedAway++;
                 return;
             }
@@ -553,8 +569,8 @@
             round.add(random.nextInt(round.size() + 1), told.name());
             accuse(fresh, news);
             spread(news);
-        } else if (told.overrules(entry.member)) {
-            boolean back = !entry.member.present() && told.present();
+        } else if (told.overrides(entry.member)) {
+            boolean back = !entry.member.isPresent() && told.isPresent();
             entry.member = told;
             entry.since = now;
             entry.accusers.clear();
@@ -562,27 +578,28 @@
             spread(news);
             if (back) {
                 round.add(random.nextInt(round.size() + 1), told.name());
-                out.exchange(told.address()); // a partition may have healed, with many behind it
+                out.exchangeMemberLists(
+                        told.address()); // a partition may have healed, with many behind it
             }
         } else if (told.state() == State.SUSPECT
                 && told.incarnation() == entry.member.incarnation()
                 && entry.member.state() == State.SUSPECT
-                && entry.accusers.size() <= Timing.SHARED_BY
+                && entry.accusers.size() <= SwimSettings.SHARED_BY
                 && accuse(entry, news)) {
             rumours.add(news); // one more accuser: the others are to count it too
         }
     }
 
     /** Whether there is one more who found the member silent. */
-    private static boolean accuse(Entry entry, News news) {
+    private static boolean accuse(Entry entry, MemberUpdate news) {
         return entry.member.state() == State.SUSPECT
-                && !news.by().isEmpty()
-                && entry.accusers.add(news.by());
+                && !news.reportedBy().isEmpty()
+                && entry.accusers.add(news.reportedBy());
     }
 
-    private void spread(News news) {
+    private void spread(MemberUpdate news) {
         rumours.add(news);
-        out.changed(news.member());
+        out.memberChanged(news.member());
     }
 
     /**
@@ -590,10 +607,10 @@
      * restart.
      */
     private void applyToSelf(Member told) {
-        boolean other = told.life() != self.life();
-        if (other && told.present() && !told.address().equals(self.address())) {
+        boolean other = told.generation() != self.generation();
+        if (other && told.isPresent() && !told.address().equals(self.address())) {
             namesRefused++;
-            out.refused(self, told);
+            out.nameClaimRefused(self, told);
             return; // or two processes under one name would overrule each other without end
         }
         if (other && told.state() == State.ALIVE && told.incarnation() > self.incarnation()) {
@@ -605,8 +622,8 @@
             if (!other) {
                 health.refuted(); // accused while alive: this member may be the slow one
             }
-            self = self.reborn(told.incarnation() + 1);
-            rumours.add(new News(self, self.name()));
+            self = self.aliveWithIncarnation(told.incarnation() + 1);
+            rumours.add(new MemberUpdate(self, self.name()));
         }
     }
 }
--- a/src/main/java/cypressglade/member/Timing.java
+++ b/src/main/java/cypressglade/member/SwimSettings.java
@@ -6,14 +6,18 @@
  * The figures of the protocol.
  *
  * @param period between two probes of an instance, each of another member
- * @param answer what a direct ping is waited for, twice, before others are asked; under a third of
- *     the period
- * @param helpers how many others are asked
- * @param mostMembers how many are known at most
- * @param reconnect between two tries to reach one that is lost, or a seed
+ * @param ackTimeout what a direct ping is waited for, twice, before others are asked; under a third
+ *     of the period
+ * @param indirectProbers how many others are asked
+ * @param maxMembers how many are known at most
+ * @param reconnectInterval between two tries to reach one that is lost, or a seed
  */
-public record Timing(
-        Duration period, Duration answer, int helpers, int mostMembers, Duration reconnect) {
+public record SwimSettings(
+        Duration period,
+        Duration ackTimeout,
+        int indirectProbers,
+        int maxMembers,
+        Duration reconnectInterval) {
     /** News that one message carries, beside the sender: some 60 bytes each. */
     static final int MOST_NEWS = 8;
 
@@ -46,16 +50,16 @@
     private static final int KEEP_LOST = 1800;
 
     /** As operated: a period of a second. */
-    public static Timing standard() {
-        return every(Duration.ofSeconds(1));
+    public static SwimSettings defaults() {
+        return withPeriod(Duration.ofSeconds(1));
     }
 
     /**
      * The standard proportions at another period: 0.3 of it for a direct answer, ten between
      * knocks.
      */
-    public static Timing every(Duration period) {
-        return new Timing(
+    public static SwimSettings withPeriod(Duration period) {
+        return new SwimSettings(
                 period, period.multipliedBy(3).dividedBy(10), 3, 512, period.multipliedBy(10));
     }
 
@@ -63,18 +67,18 @@
      * Bits of the number of members: rounds that news needs to reach them all, {@code ⌊log₂ n⌋ +
      * 1}.
      */
-    public static int log(int members) {
+    public static int gossipRounds(int members) {
         return 32 - Integer.numberOfLeadingZeros(Math.max(1, members));
     }
 
-    int passOn(int members) {
-        return PASS_ON * log(members);
+    int maxTransmissions(int members) {
+        return PASS_ON * gossipRounds(members);
     }
 
     /** How long a member stays suspect, after so many others said the same. */
-    public Duration suspicion(int members, int sharers) {
-        double most = SUSPECT_MOST * log(members);
-        double least = SUSPECT_LEAST * log(members);
+    public Duration suspicionTimeout(int members, int sharers) {
+        double most = SUSPECT_MOST * gossipRounds(members);
+        double least = SUSPECT_LEAST * gossipRounds(members);
         double part =
                 Math.log(Math.max(0, Math.min(SHARED_BY, sharers)) + 1.0)
                         / Math.log(SHARED_BY + 1.0);
@@ -82,15 +86,15 @@
     }
 
     /** Between two exchanges of whole lists with a member drawn by chance. */
-    public Duration exchange(int members) {
+    public Duration exchangeInterval(int members) {
         return period.multipliedBy(EXCHANGE_PERIODS * (long) (1 + members / EXCHANGE_STEP));
     }
 
-    Duration keepDead() {
+    Duration leftRetention() {
         return period.multipliedBy(KEEP_DEAD);
     }
 
-    Duration keepLost() {
+    Duration deadRetention() {
         return period.multipliedBy(KEEP_LOST);
     }
 }
--- a/src/main/java/cypressglade/peer/Codec.java
+++ b/src/main/java/cypressglade/peer/Codec.java
@@ -5,11 +5,11 @@
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.core.StreamReadConstraints;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
+import cypressglade.learn.NodeObservation;
 import cypressglade.learn.Origin;
-import cypressglade.learn.Word;
 import cypressglade.member.Member;
+import cypressglade.member.MemberUpdate;
 import cypressglade.member.Message;
-import cypressglade.member.News;
 import cypressglade.share.Notice;
 import cypressglade.share.Notice.Piece;
 import cypressglade.share.Sharing;
@@ -88,16 +88,16 @@
                     if (envelope.message().isPresent()) {
                         Message message = envelope.message().get();
                         number(out, "k", message.kind().ordinal());
-                        number(out, "i", message.number());
+                        number(out, "i", message.sequenceNumber());
                         if (!message.target().isEmpty()) {
                             text(out, "g", message.target());
                         }
-                        if (message.targetAt() != null) {
-                            address(out, message.targetAt());
+                        if (message.targetAddress() != null) {
+                            address(out, message.targetAddress());
                         }
                         out.writeArrayFieldStart("u");
-                        for (News news : message.news()) {
-                            member(out, news.member(), news.by());
+                        for (MemberUpdate news : message.updates()) {
+                            member(out, news.member(), news.reportedBy());
                         }
                         out.writeEndArray();
                     }
@@ -116,7 +116,7 @@
                     int kind = -1;
                     String target = "";
                     InetSocketAddress targetAt;
-                    List<News> news = List.of();
+                    List<MemberUpdate> news = List.of();
                     Optional<Notice> notice = Optional.empty();
                 };
         map(
@@ -187,7 +187,7 @@
                     int index;
                     boolean last;
                     List<Member> members = List.of();
-                    List<Word> words = List.of();
+                    List<NodeObservation> words = List.of();
                     final Map<String, Long> figures = new LinkedHashMap<>();
                     List<Verdict> verdicts = List.of();
                 };
@@ -246,7 +246,7 @@
     }
 
     /** Words as a snapshot holds them, with the name of the instance whose snapshot it is. */
-    static byte[] snapshot(String name, List<Word> words, Instant now) {
+    static byte[] snapshot(String name, List<NodeObservation> words, Instant now) {
         return body(
                 out -> {
                     text(out, "s", name);
@@ -255,12 +255,12 @@
     }
 
     /** A snapshot's words, each older by the given span; nothing where it is another instance's. */
-    static Optional<List<Word>> snapshot(byte[] body, String name, Duration since, Instant now)
-            throws IOException {
+    static Optional<List<NodeObservation>> snapshot(
+            byte[] body, String name, Duration since, Instant now) throws IOException {
         var read =
                 new Object() {
                     String name = "";
-                    List<Word> words = List.of();
+                    List<NodeObservation> words = List.of();
                 };
         map(
                 body,
@@ -427,27 +427,28 @@
 
     // ---- words and members
 
-    private static void words(JsonGenerator out, List<Word> words, Instant now) throws IOException {
+    private static void words(JsonGenerator out, List<NodeObservation> words, Instant now)
+            throws IOException {
         out.writeArrayFieldStart("w");
-        for (Word word : words) {
+        for (NodeObservation word : words) {
             out.writeStartObject();
-            text(out, "n", word.node());
-            number(out, "t", word.startedUs());
-            out.writeNumberField("p", (float) word.paceUs());
-            out.writeNumberField("b", (float) word.backlogUs());
-            out.writeNumberField("s", (float) word.strain());
-            out.writeNumberField("e", (float) word.errors());
-            number(out, "a", word.answers());
+            text(out, "n", word.nodeId());
+            number(out, "t", word.startedMicros());
+            out.writeNumberField("p", (float) word.serviceTimePerUnitMicros());
+            out.writeNumberField("b", (float) word.backlogMicros());
+            out.writeNumberField("s", (float) word.latencyRatio());
+            out.writeNumberField("e", (float) word.errorRatio());
+            number(out, "a", word.answerCount());
             number(out, "q", word.silentFor().toMillis());
             number(out, "g", word.age(now).toMillis() + 1); // rounded up: it never looks younger
             text(out, "o", word.origin().name());
-            number(out, "l", word.origin().life());
+            number(out, "l", word.origin().generation());
             out.writeEndObject();
         }
         out.writeEndArray();
     }
 
-    private static Word word(JsonParser in, Instant now) throws IOException {
+    private static NodeObservation word(JsonParser in, Instant now) throws IOException {
         var read =
                 new Object() {
                     String node = "", origin = "";
@@ -478,7 +479,7 @@
         if (read.age < 0) {
             throw new IOException("a word without an age");
         }
-        return new Word(
+        return new NodeObservation(
                 read.node,
                 read.started,
                 read.pace,
@@ -495,7 +496,7 @@
         out.writeStartObject();
         text(out, "n", member.name());
         address(out, member.address());
-        number(out, "l", member.life());
+        number(out, "l", member.generation());
         number(out, "i", member.incarnation());
         number(out, "s", member.state().ordinal());
         if (!by.isEmpty()) {
@@ -504,7 +505,7 @@
         out.writeEndObject();
     }
 
-    private static News news(JsonParser in) throws IOException {
+    private static MemberUpdate news(JsonParser in) throws IOException {
         var read =
                 new Object() {
                     String name = "", by = "";
@@ -533,7 +534,7 @@
                 || read.state >= Member.State.values().length) {
             throw new IOException("a member without name, address or state");
         }
-        return new News(
+        return new MemberUpdate(
                 new Member(
                         read.name,
                         read.address,
--- a/src/main/java/cypressglade/peer/PeerReport.java
+++ b/src/main/java/cypressglade/peer/PeerReport.java
@@ -1,7 +1,7 @@
 package cypressglade.peer;
 
 import cypressglade.core.Time;
-import cypressglade.learn.Word;
+import cypressglade.learn.NodeObservation;
 import cypressglade.member.Member;
 import cypressglade.net.Loop;
 import java.io.IOException;
@@ -26,7 +26,7 @@
  * @param at when it was asked for; ages are told from here
  */
 public record PeerReport(
-        List<Member> members, List<Word> words, Map<String, Long> figures, Instant at) {
+        List<Member> members, List<NodeObservation> words, Map<String, Long> figures, Instant at) {
     private static final int MOST_WORDS = 4096;
 
     /**
--- a/src/main/java/cypressglade/peer/Peers.java
+++ b/src/main/java/cypressglade/peer/Peers.java
@@ -1,5 +1,7 @@
 package cypressglade.peer;
 
+import static cypressglade.member.ReplayGuard.Verdict.UNKNOWN_GENERATION;
+
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import cypressglade.core.Asked;
 import cypressglade.core.Counters;
@@ -9,11 +11,11 @@
 import cypressglade.core.Time;
 import cypressglade.fleet.View;
 import cypressglade.learn.Learner;
+import cypressglade.learn.NodeObservation;
 import cypressglade.learn.Origin;
-import cypressglade.learn.Word;
-import cypressglade.member.Census;
 import cypressglade.member.Member;
 import cypressglade.member.Message;
+import cypressglade.member.RecentMembers;
 import cypressglade.member.ReplayGuard;
 import cypressglade.member.Swim;
 import cypressglade.net.Datagrams;
@@ -103,8 +105,8 @@
     private final Set<InetSocketAddress> pulls = new HashSet<>();
     private final Map<InetSocketAddress, Message> held = new LinkedHashMap<>();
     private final Set<Sealed.Fault> logged = new HashSet<>();
-    private Census census;
-    private Census.Share share = new Census.Share(0, 1);
+    private RecentMembers census;
+    private RecentMembers.Share share = new RecentMembers.Share(0, 1);
     private Swim swim;
     private Optional<View> view = Optional.empty();
     private Optional<Sharing<InetSocketAddress>> sharing = Optional.empty();
@@ -212,7 +214,8 @@
     /** Loads what the first transfer needs, so that the wait for a peer is not spent on that. */
     private void warm() throws IOException {
         Instant now = Time.now();
-        Word word = new Word("warm", 0, 1, 0, 0, 0, 0, Duration.ZERO, now, learner.self());
+        NodeObservation word =
+                new NodeObservation("warm", 0, 1, 0, 0, 0, 0, Duration.ZERO, now, learner.self());
         try {
             byte[] body =
                     Codec.bytes(
@@ -353,7 +356,7 @@
                         .filter(listen -> !listen.getAddress().isAnyLocalAddress())
                         .map(listen -> new InetSocketAddress(listen.getAddress(), 0));
         client = new TransferClient(loop, local, this::execute, random, () -> keys);
-        census = new Census(config.name(), CENSUS_HOLD);
+        census = new RecentMembers(config.name(), CENSUS_HOLD);
         Instant now = Time.now();
         swim =
                 new Swim(
@@ -382,7 +385,7 @@
                     if (pulls.isEmpty()) {
                         learned.countDown(); // nobody to learn from
                     }
-                    repeat(() -> swim.tick(Time.now()), swim::due);
+                    repeat(() -> swim.tick(Time.now()), swim::nextTickAt);
                     sharing.ifPresent(this::begin);
                 });
         owner.scheduleWithFixedDelay(
@@ -400,7 +403,7 @@
 
     private void tick(Sharing<InetSocketAddress> kept) {
         Map<String, InetSocketAddress> present =
-                swim.present().stream()
+                swim.presentMembers().stream()
                         .collect(
                                 Collectors.toMap(
                                         Member::name, Member::address, (one, other) -> one));
@@ -452,21 +455,22 @@
 
     /** Told at once when somebody comes: from then on each may send a cold node its part only. */
     private void recount() {
-        members = swim == null ? List.of() : List.copyOf(swim.list());
+        members = swim == null ? List.of() : List.copyOf(swim.members());
         view.ifPresent(kept -> kept.retain(members));
         if (swim != null && config.talk().get().shareCold()) {
-            Census.Share next = census.count(swim.list(), Time.now());
+            RecentMembers.Share next = census.update(swim.members(), Time.now());
             if (!next.equals(share)) {
                 share = next;
-                engine.share(next.rank(), next.heads());
+                engine.share(next.rank(), next.instances());
             }
         }
     }
 
     private void seen(List<NodeFact> facts) {
         Instant now = Time.now();
-        learner.own(facts, now);
-        learner.hints(facts, now).forEach(taught -> engine.hint(taught.node(), taught::hint));
+        learner.observe(facts, now);
+        learner.hints(facts, now)
+                .forEach(taught -> engine.hint(taught.nodeId(), taught::toSchedulerHint));
         publish();
     }
 
@@ -489,7 +493,7 @@
     // ---- transfers
 
     private void refresh() {
-        List<Member> present = swim.present();
+        List<Member> present = swim.presentMembers();
         if (!present.isEmpty()) {
             pull(present.get(random.nextInt(present.size())).address());
         }
@@ -505,13 +509,13 @@
                 new TransferClient.Listener() {
                     @Override
                     public List<Member> members() {
-                        return swim.list().stream().limit(MEMBERS_A_FRAME).toList();
+                        return swim.members().stream().limit(MEMBERS_A_FRAME).toList();
                     }
 
                     @Override
                     public void came(Transfer frame) {
                         swim.merge(frame.members(), Time.now());
-                        learner.take(frame.words(), Time.now());
+                        learner.receive(frame.words(), Time.now());
                         sharing.ifPresent(kept -> kept.take(frame.verdicts()));
                         publish();
                     }
@@ -562,9 +566,9 @@
     }
 
     private List<byte[]> answer(Transfer asked, Instant now) {
-        List<Member> members = swim.list();
-        List<Word> words =
-                learner.words(
+        List<Member> members = swim.members();
+        List<NodeObservation> words =
+                learner.observations(
                         now,
                         Math.min(
                                 Math.min(Codec.MOST_WORDS, asked.index()),
@@ -607,13 +611,13 @@
         for (Learner.Count count : Learner.Count.values()) {
             figures.put(count.name().toLowerCase(Locale.ROOT), learner.count(count));
         }
-        figures.put("words_kept", (long) learner.kept());
-        figures.put("shares_cold_among", (long) share.heads());
-        figures.put("name_conflicts", swim.conflicts());
-        figures.put("names_refused", swim.namesRefused());
+        figures.put("words_kept", (long) learner.peerObservationCount());
+        figures.put("shares_cold_among", (long) share.instances());
+        figures.put("name_conflicts", swim.nameConflicts());
+        figures.put("names_refused", swim.refusedNameClaims());
         figures.put("health", (long) swim.health().score());
         figures.put("stalls", swim.stalls());
-        figures.put("members_turned_away", swim.turnedAway());
+        figures.put("members_turned_away", swim.rejectedMembers());
         sharing.ifPresent(
                 kept -> {
                     figures.put("limits_agreed_among", (long) kept.granted().agreed());
@@ -647,7 +651,7 @@
                             .ifPresent(message -> swim.receive(message, from, Time.now()));
                     envelope.notice().ifPresent(notice -> receive(notice, from));
                 }
-                case UNKNOWN_LIFE -> {
+                case UNKNOWN_GENERATION -> {
                     if (envelope.says()) { // or two would tell each other without end
                         answerShortly(from, ownLife(envelope.from()));
                     }
@@ -670,7 +674,7 @@
 
     /** A sealed envelope without content: tells an instance the life of this one. */
     private byte[] ownLife(long to) {
-        Envelope envelope = new Envelope(life, to, guard.next(), Optional.empty());
+        Envelope envelope = new Envelope(life, to, guard.nextSequenceNumber(), Optional.empty());
         return Sealed.seal(keys, Codec.bytes(envelope));
     }
 
@@ -698,7 +702,11 @@
                         keys,
                         Codec.bytes(
                                 new Envelope(
-                                        life, guard.lifeAt(to), guard.next(), message, notice))));
+                                        life,
+                                        guard.generationAt(to),
+                                        guard.nextSequenceNumber(),
+                                        message,
+                                        notice))));
     }
 
     /** What sharing orders. */
@@ -802,10 +810,10 @@
     }
 
     /** What the membership orders. */
-    private final class Wiring implements Swim.Out {
+    private final class Wiring implements Swim.Callbacks {
         @Override
         public void send(InetSocketAddress to, Message message) {
-            if (guard.lifeAt(to) == 0 && (held.size() < MOST_HELD || held.containsKey(to))) {
+            if (guard.generationAt(to) == 0 && (held.size() < MOST_HELD || held.containsKey(to))) {
                 held.put(
                         to,
                         message); // it will be turned away and is sent again when the life is known
@@ -814,12 +822,12 @@
         }
 
         @Override
-        public void exchange(InetSocketAddress with) {
+        public void exchangeMemberLists(InetSocketAddress with) {
             pull(with);
         }
 
         @Override
-        public void changed(Member member) {
+        public void memberChanged(Member member) {
             recount();
             LOG.log(
                     Level.INFO,
@@ -836,7 +844,7 @@
         }
 
         @Override
-        public void refused(Member known, Member claim) {
+        public void nameClaimRefused(Member known, Member claim) {
             String line = view.map(kept -> kept.refusal(known, claim, Time.now())).orElse("");
             if (!line.isEmpty()) {
                 LOG.log(Level.WARNING, "{0}", line);
@@ -848,7 +856,7 @@
 
     private byte[] body() {
         return Codec.snapshot(
-                config.name(), learner.words(Time.now(), Codec.MOST_WORDS), Time.now());
+                config.name(), learner.observations(Time.now(), Codec.MOST_WORDS), Time.now());
     }
 
     private void write(byte[] body) {
@@ -874,10 +882,10 @@
                                         config.snapshots().get().mostAge(),
                                         this::words,
                                         this::ignored))
-                .ifPresent(words -> learner.take(words, Time.now()));
+                .ifPresent(words -> learner.receive(words, Time.now()));
     }
 
-    private List<Word> words(SnapshotStore.Found found) throws IOException {
+    private List<NodeObservation> words(SnapshotStore.Found found) throws IOException {
         return Codec.snapshot(found.body(), config.name(), found.age(), Time.now())
                 .orElseThrow(() -> new IOException("another instance's"));
     }
--- a/src/main/java/cypressglade/peer/PeersConfig.java
+++ b/src/main/java/cypressglade/peer/PeersConfig.java
@@ -1,6 +1,6 @@
 package cypressglade.peer;
 
-import cypressglade.member.Timing;
+import cypressglade.member.SwimSettings;
 import cypressglade.share.Terms;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -42,7 +42,7 @@
             KeyRing keys,
             Duration refresh,
             boolean shareCold,
-            Timing timing,
+            SwimSettings timing,
             boolean view,
             Optional<Terms> terms) {}
 
--- a/src/main/java/cypressglade/peer/Transfer.java
+++ b/src/main/java/cypressglade/peer/Transfer.java
@@ -1,6 +1,6 @@
 package cypressglade.peer;
 
-import cypressglade.learn.Word;
+import cypressglade.learn.NodeObservation;
 import cypressglade.member.Member;
 import cypressglade.share.Verdicts.Verdict;
 import java.util.List;
@@ -24,7 +24,7 @@
         int index,
         boolean last,
         List<Member> members,
-        List<Word> words,
+        List<NodeObservation> words,
         Map<String, Long> figures,
         List<Verdict> verdicts) {
     Transfer(
@@ -33,7 +33,7 @@
             int index,
             boolean last,
             List<Member> members,
-            List<Word> words,
+            List<NodeObservation> words,
             Map<String, Long> figures) {
         this(nonce, ask, index, last, members, words, figures, List.of());
     }
--- a/src/test/java/cypressglade/config/ConfigTest.java
+++ b/src/test/java/cypressglade/config/ConfigTest.java
@@ -5,7 +5,7 @@
 
 import cypressglade.core.NodeList;
 import cypressglade.core.Scheduler.State;
-import cypressglade.member.Timing;
+import cypressglade.member.SwimSettings;
 import cypressglade.peer.PeersConfig;
 import cypressglade.share.Terms;
 import java.io.IOException;
@@ -210,7 +210,7 @@
                         .talk()
                         .orElseThrow();
         assertThat(talk.view()).isTrue();
-        assertThat(talk.timing()).isEqualTo(Timing.standard());
+        assertThat(talk.timing()).isEqualTo(SwimSettings.defaults());
         assertThat(talk.terms().orElseThrow())
                 .isEqualTo(
                         new Terms(
--- a/src/test/java/cypressglade/fleet/FleetViewMeasure.java
+++ b/src/test/java/cypressglade/fleet/FleetViewMeasure.java
@@ -5,7 +5,7 @@
 import cypressglade.lab.ProcessFleet;
 import cypressglade.measure.Figures;
 import cypressglade.member.Member.State;
-import cypressglade.member.Timing;
+import cypressglade.member.SwimSettings;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.file.Files;
@@ -23,12 +23,16 @@
  * Bounds}, and against each other.
  */
 public final class FleetViewMeasure {
-    private static final Timing TIMING = Timing.every(Duration.ofMillis(200));
+    private static final SwimSettings TIMING = SwimSettings.withPeriod(Duration.ofMillis(200));
 
     /** As the standard one, with room for a thousand. */
-    private static final Timing LARGE =
-            new Timing(
-                    TIMING.period(), TIMING.answer(), TIMING.helpers(), 2048, TIMING.reconnect());
+    private static final SwimSettings LARGE =
+            new SwimSettings(
+                    TIMING.period(),
+                    TIMING.ackTimeout(),
+                    TIMING.indirectProbers(),
+                    2048,
+                    TIMING.reconnectInterval());
 
     private static final int SEEDS = 200;
     private static final int LARGE_SIZE = 1000;
@@ -115,7 +119,7 @@
                 .toList();
     }
 
-    private static Found model(Timing timing, int size, int seeds) {
+    private static Found model(SwimSettings timing, int size, int seeds) {
         MemberLab lab = new MemberLab(timing);
         CompletableFuture<List<Long>> detect =
                 CompletableFuture.supplyAsync(
--- a/src/test/java/cypressglade/fleet/FleetViewTest.java
+++ b/src/test/java/cypressglade/fleet/FleetViewTest.java
@@ -6,7 +6,7 @@
 import cypressglade.lab.Faults;
 import cypressglade.lab.ProcessFleet;
 import cypressglade.member.Member.State;
-import cypressglade.member.Timing;
+import cypressglade.member.SwimSettings;
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.List;
@@ -25,7 +25,7 @@
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class FleetViewTest {
     private static final Duration PERIOD = Duration.ofMillis(200);
-    private static final Bounds BOUNDS = new Bounds(Timing.every(PERIOD), 5);
+    private static final Bounds BOUNDS = new Bounds(SwimSettings.withPeriod(PERIOD), 5);
     private static final Duration BUSY = Duration.ofSeconds(5);
     private static final Duration WAIT = Duration.ofSeconds(40);
 
--- a/src/test/java/cypressglade/fleet/ViewTest.java
+++ b/src/test/java/cypressglade/fleet/ViewTest.java
@@ -7,7 +7,7 @@
 import cypressglade.lab.MemberNet;
 import cypressglade.member.Member;
 import cypressglade.member.Member.State;
-import cypressglade.member.Timing;
+import cypressglade.member.SwimSettings;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
@@ -36,7 +36,7 @@
         view.change(member("m-1", 7, State.ALIVE), Instant.ofEpochSecond(3));
         view.change(member("m-1", 7, State.DEAD), Instant.ofEpochSecond(4));
         view.change(member("m-1", 8, State.ALIVE), Instant.ofEpochSecond(5));
-        MemberNet net = new MemberNet(1, Timing.standard());
+        MemberNet net = new MemberNet(1, SwimSettings.defaults());
         JsonNode whole = json(view.whole(net.start(0), Instant.ofEpochSecond(9)).toString());
         assertThat(whole.path("flaps").asLong()).isEqualTo(1);
         assertThat(whole.path("changes").asLong()).isEqualTo(5);
@@ -78,15 +78,16 @@
 
     @Test
     void boundsGrowWithTheLogarithmAndThePeriod() {
-        Bounds five = new Bounds(Timing.every(Duration.ofMillis(200)), 5);
+        Bounds five = new Bounds(SwimSettings.withPeriod(Duration.ofMillis(200)), 5);
         assertThat(five.detect()).isEqualTo(Duration.ofMillis(4000));
-        assertThat(new Bounds(Timing.standard(), 5).detect())
+        assertThat(new Bounds(SwimSettings.defaults(), 5).detect())
                 .isEqualTo(five.detect().multipliedBy(5));
-        assertThat(new Bounds(Timing.standard(), 1000).detect()).isEqualTo(Duration.ofSeconds(62));
+        assertThat(new Bounds(SwimSettings.defaults(), 1000).detect())
+                .isEqualTo(Duration.ofSeconds(62));
         assertThat(five.messages(0, 0)).isEqualTo(2);
         assertThat(five.messages(0.1, 0.05))
                 .isBetween(2.8, 3.5)
-                .isEqualTo(new Bounds(Timing.standard(), 1000).messages(0.1, 0.05));
+                .isEqualTo(new Bounds(SwimSettings.defaults(), 1000).messages(0.1, 0.05));
         assertThat(five.split(2)).isBetween(five.detect(), five.detect().multipliedBy(2));
     }
 }
--- a/src/test/java/cypressglade/lab/MemberLabTest.java
+++ b/src/test/java/cypressglade/lab/MemberLabTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cypressglade.fleet.Bounds;
-import cypressglade.member.Timing;
+import cypressglade.member.SwimSettings;
 import java.time.Duration;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -13,7 +13,7 @@
  * for.
  */
 class MemberLabTest {
-    private static final Timing TIMING = Timing.every(Duration.ofMillis(200));
+    private static final SwimSettings TIMING = SwimSettings.withPeriod(Duration.ofMillis(200));
     private final MemberLab lab = new MemberLab(TIMING);
 
     @ParameterizedTest
--- a/src/test/java/cypressglade/learn/LearnerTest.java
+++ b/src/test/java/cypressglade/learn/LearnerTest.java
@@ -27,8 +27,9 @@
 
     private final Learner learner = new Learner(SELF, 100);
 
-    private static Word word(Origin origin, boolean silent, long startedUs, Duration age) {
-        return new Word(
+    private static NodeObservation word(
+            Origin origin, boolean silent, long startedUs, Duration age) {
+        return new NodeObservation(
                 "s-1",
                 startedUs,
                 PACE,
@@ -81,7 +82,7 @@
         return fact(false, false, 0, 13_000, 0, null);
     }
 
-    private List<Taught> hints(NodeFact fact) {
+    private List<NodeHint> hints(NodeFact fact) {
         return learner.hints(List.of(fact), NOW);
     }
 
@@ -101,12 +102,12 @@
     })
     void healthAgesFastAndSilenceSlowly(double answered, double silent, boolean believedSilent) {
         if (answered >= 0) {
-            learner.take(
+            learner.receive(
                     List.of(word(OTHER, false, 0, Duration.ofMillis((long) (answered * 1000)))),
                     NOW);
         }
         if (silent >= 0) {
-            learner.take(
+            learner.receive(
                     List.of(
                             word(
                                     new Origin("c", 3),
@@ -117,17 +118,18 @@
         }
         assertThat(hints(unseen()))
                 .singleElement()
-                .extracting(Taught::silent)
+                .extracting(NodeHint::silent)
                 .isEqualTo(believedSilent);
     }
 
     @ParameterizedTest
     @CsvSource({"0, 5000, 1", "20, 5000, 100000", "119, 5000, 100000"})
     void paceIsDrawnToTheAverageAsTheWordAges(int seconds, double told, double otherPace) {
-        Word other = new Word("s-2", 0, otherPace, 0, 0, 0, 50, Duration.ZERO, NOW, OTHER);
-        learner.take(List.of(word(OTHER, false, 0, Duration.ofSeconds(seconds)), other), NOW);
+        NodeObservation other =
+                new NodeObservation("s-2", 0, otherPace, 0, 0, 0, 50, Duration.ZERO, NOW, OTHER);
+        learner.receive(List.of(word(OTHER, false, 0, Duration.ofSeconds(seconds)), other), NOW);
         double average = (told + otherPace) / 2;
-        assertThat(hints(unseen()).get(0).paceUs())
+        assertThat(hints(unseen()).get(0).serviceTimePerUnitMicros())
                 .isCloseTo(
                         average + Math.pow(2, -seconds / 20.0) * (told - average),
                         org.assertj.core.data.Offset.offset(1.0));
@@ -135,7 +137,7 @@
 
     @Test
     void wordOlderThanItsLifeTeachesNothing() {
-        learner.take(List.of(word(OTHER, false, 0, Duration.ofSeconds(121))), NOW);
+        learner.receive(List.of(word(OTHER, false, 0, Duration.ofSeconds(121))), NOW);
         assertThat(hints(unseen())).isEmpty();
         assertThat(learner.count(Count.WORDS_AGED_OUT)).isEqualTo(1);
     }
@@ -154,17 +156,17 @@
     })
     void ofTwoWordsOnWarmthTheColderHoldsAndAnEarlierRunTeachesNothing(
             long listed, long told, long taught, boolean believed) {
-        learner.take(List.of(word(OTHER, false, told, Duration.ZERO)), NOW);
-        List<Taught> hints = hints(fact(false, false, listed, 13_000, 0, null));
+        learner.receive(List.of(word(OTHER, false, told, Duration.ZERO)), NOW);
+        List<NodeHint> hints = hints(fact(false, false, listed, 13_000, 0, null));
         assertThat(hints).hasSize(believed ? 1 : 0);
-        hints.forEach(hint -> assertThat(hint.startedUs()).isEqualTo(taught));
+        hints.forEach(hint -> assertThat(hint.startedMicros()).isEqualTo(taught));
     }
 
     /** Guards against hearsay that overrules what the instance saw itself, and against repeats. */
     @ParameterizedTest
     @CsvSource({"100, false, 0", "1900, false, 0", "2100, false, 1", "0, true, 0"})
     void ownSightBeatsHearsay(int seenAgoMs, boolean silent, int hints) {
-        learner.take(List.of(word(OTHER, !silent, 0, Duration.ZERO)), NOW);
+        learner.receive(List.of(word(OTHER, !silent, 0, Duration.ZERO)), NOW);
         NodeFact fact = fact(false, silent, 0, PACE, 20, Duration.ofMillis(seenAgoMs));
         assertThat(hints(fact)).hasSize(hints);
         assertThat(hints(fact)).isEmpty();
@@ -177,17 +179,17 @@
     @Test
     void echoesCountForNothingAndWordsNeverGrowYoungerThroughHands() {
         Learner first = new Learner(OTHER, 100);
-        first.own(List.of(fact(false, false, 0, PACE, 30, Duration.ofMillis(100))), NOW);
-        List<Word> told = first.words(NOW, 10);
+        first.observe(List.of(fact(false, false, 0, PACE, 30, Duration.ofMillis(100))), NOW);
+        List<NodeObservation> told = first.observations(NOW, 10);
         assertThat(told)
                 .singleElement()
                 .extracting(word -> word.age(NOW))
                 .isEqualTo(Duration.ofMillis(100));
         for (int i = 1; i <= 50; i++) { // to and fro, 20 ms a way, while the first sees nothing new
             Instant now = NOW.plusMillis(40L * i);
-            assertThat(learner.take(told, now.minusMillis(20))).isEqualTo(i == 1 ? 1 : 0);
-            assertThat(first.take(learner.words(now, 10), now)).isZero();
-            told = first.words(now, 10);
+            assertThat(learner.receive(told, now.minusMillis(20))).isEqualTo(i == 1 ? 1 : 0);
+            assertThat(first.receive(learner.observations(now, 10), now)).isZero();
+            told = first.observations(now, 10);
             assertThat(told)
                     .extracting(word -> word.age(now))
                     .containsExactly(Duration.ofMillis(100 + 40L * i));
@@ -195,7 +197,9 @@
         assertThat(first.count(Count.WORDS_ECHOED)).isEqualTo(50);
         assertThat(learner.count(Count.WORDS_TAKEN)).isEqualTo(1);
         Learner restarted = new Learner(new Origin(OTHER.name(), 77), 100);
-        assertThat(restarted.take(learner.words(NOW.plusSeconds(3), 10), NOW.plusSeconds(3)))
+        assertThat(
+                        restarted.receive(
+                                learner.observations(NOW.plusSeconds(3), 10), NOW.plusSeconds(3)))
                 .isEqualTo(1);
     }
 
@@ -204,7 +208,7 @@
      */
     @Test
     void nodesThatMayNotBeUsedAreNotTaughtOf() {
-        learner.take(List.of(word(OTHER, true, 0, Duration.ZERO)), NOW);
+        learner.receive(List.of(word(OTHER, true, 0, Duration.ZERO)), NOW);
         NodeView view = unseen().view();
         NodeView drained =
                 new NodeView(
@@ -232,62 +236,62 @@
 
     @Test
     void whatTheModuleHasByHearsayIsNeverToldOn() {
-        learner.own(List.of(fact(true, true, 0, PACE, 0, null)), NOW);
-        assertThat(learner.words(NOW, 10)).isEmpty();
-        learner.own(List.of(fact(false, true, 0, PACE, 0, null)), NOW.plusSeconds(1));
-        learner.own(List.of(fact(false, true, 0, PACE, 0, null)), NOW.plusSeconds(4));
-        assertThat(learner.words(NOW.plusSeconds(4), 10))
+        learner.observe(List.of(fact(true, true, 0, PACE, 0, null)), NOW);
+        assertThat(learner.observations(NOW, 10)).isEmpty();
+        learner.observe(List.of(fact(false, true, 0, PACE, 0, null)), NOW.plusSeconds(1));
+        learner.observe(List.of(fact(false, true, 0, PACE, 0, null)), NOW.plusSeconds(4));
+        assertThat(learner.observations(NOW.plusSeconds(4), 10))
                 .singleElement()
-                .matches(Word::silent)
-                .extracting(Word::silentFor)
+                .matches(NodeObservation::isSilent)
+                .extracting(NodeObservation::silentFor)
                 .isEqualTo(Duration.ofMillis(3001));
     }
 
     /** Guards against silence that is forgotten when the last attempt there has timed out. */
     @Test
     void silenceStandsUntilASignOfLifeAndAges() {
-        learner.own(List.of(fact(false, true, 0, PACE, 0, Duration.ofSeconds(3))), NOW);
-        learner.own(
+        learner.observe(List.of(fact(false, true, 0, PACE, 0, Duration.ofSeconds(3))), NOW);
+        learner.observe(
                 List.of(fact(false, false, 0, PACE, 0, Duration.ofSeconds(5))), NOW.plusSeconds(2));
-        assertThat(learner.words(NOW.plusSeconds(2), 10))
+        assertThat(learner.observations(NOW.plusSeconds(2), 10))
                 .singleElement()
-                .matches(Word::silent)
-                .extracting(Word::at)
+                .matches(NodeObservation::isSilent)
+                .extracting(NodeObservation::observedAt)
                 .isEqualTo(NOW);
-        learner.own(
+        learner.observe(
                 List.of(fact(false, true, 0, PACE, 0, Duration.ofSeconds(6))), NOW.plusSeconds(3));
-        assertThat(learner.words(NOW.plusSeconds(3), 10))
+        assertThat(learner.observations(NOW.plusSeconds(3), 10))
                 .singleElement()
-                .extracting(Word::silentFor)
+                .extracting(NodeObservation::silentFor)
                 .isEqualTo(Duration.ofMillis(3001));
         NodeView probed =
                 new NodeView(
                         1, 0, true, false, false, 0, PACE, 0, 0, 0, 0, -1, 10_000, 0, 32, 0, 0);
-        learner.own(List.of(new NodeFact(unseen().known(), probed)), NOW.plusSeconds(4));
-        assertThat(learner.words(NOW.plusSeconds(4), 10)).isEmpty();
+        learner.observe(List.of(new NodeFact(unseen().known(), probed)), NOW.plusSeconds(4));
+        assertThat(learner.observations(NOW.plusSeconds(4), 10)).isEmpty();
     }
 
     /** Guards against views that are already drawn to the average, told as what was learned. */
     @Test
     void ownWordKeepsWhatItsLastAnswersTold() {
-        learner.own(List.of(fact(false, false, 0, PACE, 30, Duration.ofMillis(100))), NOW);
-        learner.own(
+        learner.observe(List.of(fact(false, false, 0, PACE, 30, Duration.ofMillis(100))), NOW);
+        learner.observe(
                 List.of(fact(false, false, 0, 13_000, 30, Duration.ofSeconds(9))),
                 NOW.plusSeconds(9));
-        assertThat(learner.words(NOW.plusSeconds(9), 10))
+        assertThat(learner.observations(NOW.plusSeconds(9), 10))
                 .singleElement()
                 .matches(
                         word ->
-                                word.paceUs() == PACE
+                                word.serviceTimePerUnitMicros() == PACE
                                         && word.age(NOW.plusSeconds(9)).toMillis() == 9100);
-        learner.own(
+        learner.observe(
                 List.of(fact(false, false, 5, 13_000, 0, Duration.ofMillis(1))),
                 NOW.plusSeconds(10));
-        assertThat(learner.words(NOW.plusSeconds(10), 10))
+        assertThat(learner.observations(NOW.plusSeconds(10), 10))
                 .singleElement()
-                .matches(word -> word.startedUs() == 5);
-        learner.own(List.of(), NOW.plusSeconds(11));
-        assertThat(learner.words(NOW.plusSeconds(11), 10)).isEmpty();
+                .matches(word -> word.startedMicros() == 5);
+        learner.observe(List.of(), NOW.plusSeconds(11));
+        assertThat(learner.observations(NOW.plusSeconds(11), 10)).isEmpty();
     }
 
     @ParameterizedTest
@@ -300,19 +304,19 @@
     })
     void hintsAreJudgedByOwnSightAndLiarsBelievedLess(
             boolean toldSilent, boolean silent, double pace, int confirmed, int contradicted) {
-        learner.take(List.of(word(OTHER, toldSilent, 0, Duration.ZERO)), NOW);
+        learner.receive(List.of(word(OTHER, toldSilent, 0, Duration.ZERO)), NOW);
         assertThat(hints(unseen())).hasSize(1);
-        learner.own(List.of(fact(true, toldSilent, 0, PACE, 0, null)), NOW);
+        learner.observe(List.of(fact(true, toldSilent, 0, PACE, 0, null)), NOW);
         assertThat(learner.count(Count.HINTS_CONFIRMED) + learner.count(Count.HINTS_CONTRADICTED))
                 .isZero();
         for (int i = 0; i < 2; i++) {
-            learner.own(
+            learner.observe(
                     List.of(fact(false, silent, 0, pace, 9, silent ? null : Duration.ZERO)), NOW);
         }
         assertThat(learner.count(Count.HINTS_CONFIRMED)).isEqualTo(confirmed);
         assertThat(learner.count(Count.HINTS_CONTRADICTED)).isEqualTo(contradicted);
-        Word later =
-                new Word(
+        NodeObservation later =
+                new NodeObservation(
                         "s-1",
                         0,
                         99_000,
@@ -323,13 +327,14 @@
                         Duration.ZERO,
                         NOW.plusSeconds(2),
                         new Origin("d", 4));
-        learner.take(
+        learner.receive(
                 List.of(later, word(OTHER, false, 0, Duration.ofSeconds(-2))), NOW.plusSeconds(2));
         double mean = (99_000 + PACE) / 2;
-        Taught taught =
+        NodeHint taught =
                 learner.hints(List.of(fact(false, false, 0, 1, 0, null)), NOW.plusSeconds(2))
                         .get(0);
-        assertThat(taught.paceUs()).matches(value -> contradicted == 1 == value > mean + 2000);
+        assertThat(taught.serviceTimePerUnitMicros())
+                .matches(value -> contradicted == 1 == value > mean + 2000);
     }
 
     @ParameterizedTest
@@ -349,8 +354,8 @@
     })
     void figuresThatMakeNoSenseAreRefusedAndNothingElse(
             double pace, double backlog, double strain, double errors, int answers) {
-        Word bad =
-                new Word(
+        NodeObservation bad =
+                new NodeObservation(
                         "s-1",
                         0,
                         pace,
@@ -361,10 +366,10 @@
                         Duration.ZERO,
                         NOW,
                         OTHER);
-        assertThat(learner.take(List.of(bad, word(OTHER, false, 0, Duration.ZERO)), NOW))
+        assertThat(learner.receive(List.of(bad, word(OTHER, false, 0, Duration.ZERO)), NOW))
                 .isEqualTo(1);
         assertThat(learner.count(Count.WORDS_REFUSED)).isEqualTo(1);
-        assertThat(hints(unseen()).get(0).paceUs()).isEqualTo(PACE);
+        assertThat(hints(unseen()).get(0).serviceTimePerUnitMicros()).isEqualTo(PACE);
     }
 
     /**
@@ -374,23 +379,25 @@
     @Test
     void floodStaysWithinTheRoomAndBeliefsWithinTheWords() {
         SplittableRandom random = new SplittableRandom(7);
-        List<Word> flood = new ArrayList<>();
+        List<NodeObservation> flood = new ArrayList<>();
         for (int i = 0; i < 4_000; i++) {
             flood.add(anyWord(random));
         }
-        learner.take(flood, NOW);
-        assertThat(learner.kept()).isLessThanOrEqualTo(100 * Hearsay.ORIGINS);
+        learner.receive(flood, NOW);
+        assertThat(learner.peerObservationCount())
+                .isLessThanOrEqualTo(100 * PeerObservations.ORIGINS);
         assertThat(learner.count(Count.WORDS_NO_ROOM)).isPositive();
         flood.stream()
-                .map(Word::node)
+                .map(NodeObservation::nodeId)
                 .distinct()
                 .map(
                         node -> {
-                            List<Word> words =
+                            List<NodeObservation> words =
                                     flood.stream()
-                                            .filter(word -> word.node().equals(node))
+                                            .filter(word -> word.nodeId().equals(node))
                                             .toList();
-                            return new Belief(words, NOW, 13_000, origin -> 0.5).taught(node, 0);
+                            return new HintEstimator(words, NOW, 13_000, origin -> 0.5)
+                                    .hint(node, 0);
                         })
                 .flatMap(Optional::stream)
                 .forEach(
@@ -398,17 +405,18 @@
                                 assertThat(taught)
                                         .matches(
                                                 hint ->
-                                                        hint.paceUs() >= 1
-                                                                && hint.paceUs() <= 1e6 + 1
-                                                                && hint.backlogUs() <= 1e6
-                                                                && hint.strain() <= 100
-                                                                && hint.errors() <= 1));
-        learner.own(List.of(), NOW.plus(Trust.LIFE).plusSeconds(1));
-        assertThat(learner.kept()).isZero();
+                                                        hint.serviceTimePerUnitMicros() >= 1
+                                                                && hint.serviceTimePerUnitMicros()
+                                                                        <= 1e6 + 1
+                                                                && hint.backlogMicros() <= 1e6
+                                                                && hint.latencyRatio() <= 100
+                                                                && hint.errorRatio() <= 1));
+        learner.observe(List.of(), NOW.plus(ObservationWeights.LIFE).plusSeconds(1));
+        assertThat(learner.peerObservationCount()).isZero();
     }
 
-    private static Word anyWord(SplittableRandom random) {
-        return new Word(
+    private static NodeObservation anyWord(SplittableRandom random) {
+        return new NodeObservation(
                 "s-" + random.nextInt(1000),
                 0,
                 1 + random.nextDouble() * 1e6,
--- a/src/test/java/cypressglade/member/SwimTest.java
+++ b/src/test/java/cypressglade/member/SwimTest.java
@@ -19,7 +19,7 @@
 /** Membership in virtual time. */
 class SwimTest {
     private static final Duration MINUTE = Duration.ofMinutes(1);
-    private final MemberNet net = new MemberNet(11, Timing.standard());
+    private final MemberNet net = new MemberNet(11, SwimSettings.defaults());
 
     private void start(int count) {
         IntStream.range(0, count).forEach(net::start);
@@ -30,12 +30,16 @@
     private void assertAllSee(int others) {
         net.running
                 .values()
-                .forEach(swim -> assertThat(swim.present()).as(swim.self().name()).hasSize(others));
+                .forEach(
+                        swim ->
+                                assertThat(swim.presentMembers())
+                                        .as(swim.self().name())
+                                        .hasSize(others));
     }
 
     private long seenAs(String name, State state) {
         return net.running.values().stream()
-                .flatMap(swim -> swim.list().stream())
+                .flatMap(swim -> swim.members().stream())
                 .filter(member -> member.name().equals(name) && member.state() == state)
                 .count();
     }
@@ -81,7 +85,7 @@
     @ValueSource(ints = {0, 2, 60})
     void restartUnderTheSameNameIsTakenBackWithItsNewLife(int secondsAway) {
         start(10);
-        long before = net.running.get("i-4").self().life();
+        long before = net.running.get("i-4").self().generation();
         net.stop(4);
         net.pass(Duration.ofSeconds(secondsAway));
         Swim again = net.start(4);
@@ -91,11 +95,11 @@
                 .values()
                 .forEach(
                         swim ->
-                                assertThat(swim.list())
+                                assertThat(swim.members())
                                         .filteredOn(member -> member.name().equals("i-4"))
-                                        .extracting(Member::life)
-                                        .containsExactly(again.self().life()));
-        assertThat(again.self().life()).isNotEqualTo(before);
+                                        .extracting(Member::generation)
+                                        .containsExactly(again.self().generation()));
+        assertThat(again.self().generation()).isNotEqualTo(before);
         assertThat(again.self().incarnation()).isPositive();
     }
 
@@ -105,7 +109,7 @@
         start(12);
         net.cut = (from, to) -> from.hashCode() % 2 != to.hashCode() % 2;
         net.pass(MINUTE.multipliedBy(2));
-        net.running.values().forEach(swim -> assertThat(swim.present()).hasSizeLessThan(11));
+        net.running.values().forEach(swim -> assertThat(swim.presentMembers()).hasSizeLessThan(11));
         net.cut = (from, to) -> false;
         net.pass(MINUTE.multipliedBy(2));
         assertAllSee(11);
@@ -144,11 +148,14 @@
                         1,
                         "",
                         null,
-                        List.of(new News(member("y", State.ALIVE), ""), new News(accused, "y"))),
+                        List.of(
+                                new MemberUpdate(member("y", State.ALIVE), ""),
+                                new MemberUpdate(accused, "y"))),
                 MemberNet.address(8),
                 net.now);
         swim.merge(List.of(accused), net.now);
-        Duration byTwo = Timing.standard().suspicion(2, 1); // of y, and of its own probes
+        Duration byTwo =
+                SwimSettings.defaults().suspicionTimeout(2, 1); // of y, and of its own probes
         net.pass(byTwo.minusMillis(500));
         assertThat(seenAs("x", State.SUSPECT)).isEqualTo(1);
         net.pass(Duration.ofSeconds(3));
@@ -163,7 +170,7 @@
     void suspicionsGetTheTimeBackInWhichThisProcessStoodStill() {
         start(3);
         Swim swim = net.running.get("i-0");
-        swim.merge(List.of(net.running.get("i-1").self().as(State.SUSPECT)), net.now);
+        swim.merge(List.of(net.running.get("i-1").self().withState(State.SUSPECT)), net.now);
         net.changes.clear();
         net.stall(0);
         net.pass(MINUTE);
@@ -185,7 +192,7 @@
     void deathOfOneWhoIsPresentIsDoubted(boolean list) {
         start(3);
         Swim swim = net.running.get("i-0");
-        Member dead = net.running.get("i-1").self().as(State.DEAD);
+        Member dead = net.running.get("i-1").self().withState(State.DEAD);
         if (list) {
             swim.merge(List.of(dead), net.now);
         } else {
@@ -196,12 +203,12 @@
                             "",
                             null,
                             List.of(
-                                    new News(net.running.get("i-2").self(), "i-2"),
-                                    new News(dead, "i-2"))),
+                                    new MemberUpdate(net.running.get("i-2").self(), "i-2"),
+                                    new MemberUpdate(dead, "i-2"))),
                     MemberNet.address(2),
                     net.now);
         }
-        assertThat(swim.list())
+        assertThat(swim.members())
                 .filteredOn(member -> member.name().equals("i-1"))
                 .extracting(Member::state)
                 .containsExactly(State.SUSPECT);
@@ -225,11 +232,12 @@
         Member holder = net.running.get("i-1").self();
         Member claim = new Member("i-1", MemberNet.address(77), 99, 50, State.ALIVE);
         swim.receive(
-                new Message(Message.Kind.PING, 1, "", null, List.of(new News(claim, "i-1"))),
+                new Message(
+                        Message.Kind.PING, 1, "", null, List.of(new MemberUpdate(claim, "i-1"))),
                 claim.address(),
                 net.now);
-        assertThat(swim.namesRefused()).isEqualTo(1);
-        assertThat(swim.list())
+        assertThat(swim.refusedNameClaims()).isEqualTo(1);
+        assertThat(swim.members())
                 .filteredOn(member -> member.name().equals("i-1"))
                 .containsExactly(holder);
     }
@@ -240,8 +248,8 @@
         net.cut = (from, to) -> from.equals("i-0") || to.equals("i-0");
         net.pass(Duration.ofSeconds(10));
         Swim swim = net.running.get("i-0");
-        assertThat(swim.health().score()).isEqualTo(LocalHealth.MOST);
-        assertThat(net.running.get("i-1").health().score()).isLessThan(LocalHealth.MOST);
+        assertThat(swim.health().score()).isEqualTo(LocalHealth.MAX_SCORE);
+        assertThat(net.running.get("i-1").health().score()).isLessThan(LocalHealth.MAX_SCORE);
         net.cut = (from, to) -> false;
         net.pass(MINUTE);
         assertThat(swim.health().score()).isZero();
@@ -255,8 +263,8 @@
             Member member = new Member("x-" + i, MemberNet.address(i), i, 1, State.ALIVE);
             swim.merge(List.of(member), net.now);
         }
-        assertThat(swim.present()).hasSize(Timing.standard().mostMembers());
-        assertThat(swim.turnedAway()).isEqualTo(1999 - Timing.standard().mostMembers());
+        assertThat(swim.presentMembers()).hasSize(SwimSettings.defaults().maxMembers());
+        assertThat(swim.rejectedMembers()).isEqualTo(1999 - SwimSettings.defaults().maxMembers());
     }
 
     private static Member anyState(SplittableRandom random) {
@@ -277,18 +285,19 @@
             told.add(0, new Member("x", MemberNet.address(9), 5, 0, State.ALIVE));
             Member last =
                     told.stream()
-                            .reduce((one, other) -> other.overrules(one) ? other : one)
+                            .reduce((one, other) -> other.overrides(one) ? other : one)
                             .orElseThrow();
             java.util.Collections.shuffle(told.subList(1, told.size()), new Random(round));
-            Swim swim = new MemberNet(1, Timing.standard()).start(0);
-            List<News> news =
-                    new java.util.ArrayList<>(List.of(new News(member("y", State.ALIVE), "y")));
-            told.forEach(member -> news.add(new News(member, "y")));
+            Swim swim = new MemberNet(1, SwimSettings.defaults()).start(0);
+            List<MemberUpdate> news =
+                    new java.util.ArrayList<>(
+                            List.of(new MemberUpdate(member("y", State.ALIVE), "y")));
+            told.forEach(member -> news.add(new MemberUpdate(member, "y")));
             swim.receive(
                     new Message(Message.Kind.ACK, 1, "", null, news),
                     MemberNet.address(1),
                     Instant.EPOCH);
-            assertThat(swim.list())
+            assertThat(swim.members())
                     .filteredOn(member -> member.name().equals("x"))
                     .containsExactly(last);
         }
@@ -297,19 +306,19 @@
     /** Guards against two halves that each take the whole of what a cold node may be sent. */
     @Test
     void censusForgetsWhoWasLostLaterThanWhoLeft() {
-        Census census = new Census("b", Duration.ofSeconds(30));
+        RecentMembers census = new RecentMembers("b", Duration.ofSeconds(30));
         List<Member> all =
                 List.of(
                         member("a", State.ALIVE),
                         member("c", State.SUSPECT),
                         member("d", State.ALIVE));
-        assertThat(census.count(all, Instant.EPOCH)).isEqualTo(new Census.Share(1, 4));
+        assertThat(census.update(all, Instant.EPOCH)).isEqualTo(new RecentMembers.Share(1, 4));
         List<Member> less =
                 List.of(member("a", State.DEAD), member("c", State.ALIVE), member("d", State.LEFT));
-        assertThat(census.count(less, Instant.EPOCH.plusSeconds(29)))
-                .isEqualTo(new Census.Share(1, 3));
-        assertThat(census.count(less, Instant.EPOCH.plusSeconds(31)))
-                .isEqualTo(new Census.Share(0, 2));
+        assertThat(census.update(less, Instant.EPOCH.plusSeconds(29)))
+                .isEqualTo(new RecentMembers.Share(1, 3));
+        assertThat(census.update(less, Instant.EPOCH.plusSeconds(31)))
+                .isEqualTo(new RecentMembers.Share(0, 2));
     }
 
     private static Member member(String name, State state) {
@@ -334,7 +343,7 @@
             found.append(guard.check(at, 7, 8, Long.parseLong(number)).name().charAt(0));
         }
         assertThat(found).hasToString(verdicts);
-        assertThat(guard.lifeAt(at)).isEqualTo(verdicts.contains("F") ? 7 : 0);
-        assertThat(guard.check(at, 7, 9, 1000)).isEqualTo(ReplayGuard.Verdict.UNKNOWN_LIFE);
+        assertThat(guard.generationAt(at)).isEqualTo(verdicts.contains("F") ? 7 : 0);
+        assertThat(guard.check(at, 7, 9, 1000)).isEqualTo(ReplayGuard.Verdict.UNKNOWN_GENERATION);
     }
 }
--- a/src/test/java/cypressglade/peer/CodecTest.java
+++ b/src/test/java/cypressglade/peer/CodecTest.java
@@ -5,13 +5,12 @@
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
+import cypressglade.learn.NodeObservation;
 import cypressglade.learn.Origin;
-import cypressglade.learn.Word;
 import cypressglade.member.Member;
 import cypressglade.member.Member.State;
+import cypressglade.member.MemberUpdate;
 import cypressglade.member.Message;
-import cypressglade.member.Message.Kind;
-import cypressglade.member.News;
 import cypressglade.peer.Sealed.Fault;
 import cypressglade.peer.Sealed.Refused;
 import cypressglade.share.Notice;
@@ -45,14 +44,16 @@
                     9,
                     Optional.of(
                             new Message(
-                                    Kind.PING_FOR,
+                                    Message.Kind.PING_REQ,
                                     7,
                                     "i-2",
                                     new InetSocketAddress("127.0.0.2", 1),
-                                    List.of(new News(MEMBER, "i-9"), new News(MEMBER, "i-1")))));
+                                    List.of(
+                                            new MemberUpdate(MEMBER, "i-9"),
+                                            new MemberUpdate(MEMBER, "i-1")))));
 
-    static Word word(int number) {
-        return new Word(
+    static NodeObservation word(int number) {
+        return new NodeObservation(
                 "s-" + number,
                 1_700_000_000_000_000L,
                 5000,
@@ -163,7 +164,7 @@
                 bad[random.nextInt(bad.length)] = (byte) random.nextInt();
             }
             try {
-                Codec.transfer(bad, NOW).words().forEach(word -> word.plausible(NOW));
+                Codec.transfer(bad, NOW).words().forEach(word -> word.isPlausible(NOW));
                 Codec.envelope(bad);
             } catch (IOException unreadable) {
                 refused++;
--- a/src/test/java/cypressglade/peer/LearningMeasure.java
+++ b/src/test/java/cypressglade/peer/LearningMeasure.java
@@ -7,11 +7,11 @@
 import cypressglade.core.NodeDirectory;
 import cypressglade.core.Time;
 import cypressglade.lab.MemberNet;
+import cypressglade.learn.NodeObservation;
 import cypressglade.learn.Origin;
-import cypressglade.learn.Word;
 import cypressglade.measure.Figures;
 import cypressglade.member.Member.State;
-import cypressglade.member.Timing;
+import cypressglade.member.SwimSettings;
 import cypressglade.net.Loop;
 import cypressglade.snapshot.SnapshotStore;
 import cypressglade.standin.Site;
@@ -89,7 +89,7 @@
                                 keys,
                                 Duration.ofSeconds(2),
                                 true,
-                                Timing.standard(),
+                                SwimSettings.defaults(),
                                 false,
                                 Optional.empty())),
                 Optional.empty(),
@@ -269,7 +269,7 @@
     private void transfer() throws Exception {
         Path directory = Files.createTempDirectory("learned");
         Instant now = Time.now();
-        List<Word> words = IntStream.range(0, 1000).mapToObj(i -> word(i, now)).toList();
+        List<NodeObservation> words = IntStream.range(0, 1000).mapToObj(i -> word(i, now)).toList();
         new SnapshotStore(directory, "learned")
                 .write(Codec.snapshot("full", words, now), Instant.now());
         Config config = Site.config(Site.entry(0, "127.0.0.1:1", "active", 0), "127.0.0.1:1");
@@ -304,8 +304,8 @@
         }
     }
 
-    private static Word word(int i, Instant now) {
-        return new Word(
+    private static NodeObservation word(int i, Instant now) {
+        return new NodeObservation(
                 "storage-node-" + i,
                 1_760_000_000_000_000L + i,
                 5000 + i,
@@ -344,7 +344,7 @@
     private void members() {
         List<Double> bytes = new ArrayList<>();
         for (int count : new int[] {10, 50, 200}) {
-            MemberNet net = new MemberNet(17, Timing.standard());
+            MemberNet net = new MemberNet(17, SwimSettings.defaults());
             net.loss = 0.05;
             IntStream.range(0, count).forEach(net::start);
             net.pass(Duration.ofMinutes(10)); // by then all who came are known to all
@@ -361,7 +361,7 @@
             figures.say("member_bytes_a_second_" + count, net.bytes / 60.0 / count);
         }
         figures.atMost("member_bytes_growth", bytes.get(2) / bytes.get(0), 1.5);
-        MemberNet net = new MemberNet(19, Timing.standard());
+        MemberNet net = new MemberNet(19, SwimSettings.defaults());
         net.loss = 0.05;
         IntStream.range(0, 200).forEach(net::start);
         net.pass(Duration.ofMinutes(3));
--- a/src/test/java/cypressglade/peer/PeersTest.java
+++ b/src/test/java/cypressglade/peer/PeersTest.java
@@ -7,14 +7,14 @@
 import cypressglade.cli.OperatorFiles;
 import cypressglade.core.Counters.Name;
 import cypressglade.core.Time;
+import cypressglade.learn.NodeObservation;
 import cypressglade.learn.Origin;
-import cypressglade.learn.Word;
 import cypressglade.member.Member;
 import cypressglade.member.Member.State;
+import cypressglade.member.MemberUpdate;
 import cypressglade.member.Message;
 import cypressglade.member.Message.Kind;
-import cypressglade.member.News;
-import cypressglade.member.Timing;
+import cypressglade.member.SwimSettings;
 import cypressglade.share.Notice;
 import cypressglade.share.Terms;
 import cypressglade.share.Verdicts.Verdict;
@@ -82,7 +82,7 @@
                                 keys,
                                 Duration.ofSeconds(1),
                                 true,
-                                Timing.standard(),
+                                SwimSettings.defaults(),
                                 false,
                                 Optional.empty())),
                 Optional.empty(),
@@ -141,7 +141,7 @@
         Site running = site(talking("a", LONG));
         int sent = learn(running);
         PeersConfig second = talking("b", LONG, running.serve.peerAddress().orElseThrow());
-        Site.await(() -> report(running).words().stream().anyMatch(Word::silent));
+        Site.await(() -> report(running).words().stream().anyMatch(NodeObservation::isSilent));
         Site taught = site(second);
         assertThat(count(taught, Name.HINTS_TAKEN)).isPositive();
         assertThat(ask(taught, 0)).isEqualTo(200);
@@ -219,7 +219,7 @@
             in.readFully(question);
             Instant now = Time.now();
             Transfer asked = Codec.transfer(Sealed.open(keys, question), now);
-            Word word = word("s-1", way.equals("lies") ? Double.NaN : 5000, now, "z", 1);
+            NodeObservation word = word("s-1", way.equals("lies") ? Double.NaN : 5000, now, "z", 1);
             byte[] first =
                     Sealed.seal(
                             keys,
@@ -236,7 +236,7 @@
             frame(out, first);
             if (way.equals("goes on")) {
                 goOn.await();
-                List<Word> later =
+                List<NodeObservation> later =
                         Stream.of("s-0", "s-1").map(id -> word(id, 5000, now, "y", 2)).toList();
                 Transfer last = new Transfer(asked.ask(), 0, 1, true, List.of(), later, Map.of());
                 frame(out, Sealed.seal(keys, Codec.bytes(last, now)));
@@ -246,8 +246,9 @@
             }
         }
 
-        private static Word word(String id, double pace, Instant now, String by, long life) {
-            return new Word(
+        private static NodeObservation word(
+                String id, double pace, Instant now, String by, long life) {
+            return new NodeObservation(
                     id,
                     0,
                     pace,
@@ -335,7 +336,7 @@
                                                     5,
                                                     "",
                                                     null,
-                                                    List.of(new News(self, "h")))))));
+                                                    List.of(new MemberUpdate(self, "h")))))));
         }
 
         byte[] next() throws IOException {
