--- a/src/main/java/cypressglade/learn/HintEstimator.java
+++ b/src/main/java/cypressglade/learn/HintEstimator.java
@@ -9,104 +9,125 @@
 import java.util.stream.Collectors;
 
 /**
- * What words on one node come to, weighed by age, by answers and by how well their origins held so
- * far.
+ * Estimates the condition of one node from observations of other instances, weighted by age, by
+ * number of answers, and by the trust in their origins.
  */
 final class HintEstimator {
     private final Instant now;
-    private final ToDoubleFunction<Origin> standing;
-    private final double averagePace;
-    private List<NodeObservation> words;
+    private final ToDoubleFunction<Origin> trust;
+    private final double averageServiceTimeMicros;
+    private List<NodeObservation> observations;
 
     /**
-     * Of words on one node.
+     * An estimator for one node.
      *
-     * @param averagePace microseconds a unit over all nodes that anyone told of
-     * @param standing how far an origin is believed, from 0 to 1
+     * @param observations observations of this node only
+     * @param averageServiceTimeMicros microseconds per cost unit, over all nodes that others
+     *     observed
+     * @param trust how far an origin is trusted, from 0 to 1
      */
     HintEstimator(
-            List<NodeObservation> words,
+            List<NodeObservation> observations,
             Instant now,
-            double averagePace,
-            ToDoubleFunction<Origin> standing) {
-        this.words = words;
+            double averageServiceTimeMicros,
+            ToDoubleFunction<Origin> trust) {
+        this.observations = observations;
         this.now = now;
-        this.averagePace = averagePace;
-        this.standing = standing;
+        this.averageServiceTimeMicros = averageServiceTimeMicros;
+        this.trust = trust;
     }
 
     /**
-     * What to tell the module.
+     * The hint for the scheduling policy; empty where all observations are too old or of an earlier
+     * run of the node.
      *
-     * @param listedUs the start of the node as the own list has it
+     * @param listedMicros start of the node according to this instance's own node list, in
+     *     microseconds since the epoch
      */
-    Optional<NodeHint> hint(String node, long listedUs) {
-        // Of two words on warmth the colder holds, the own list's among them. What was said of an
-        // earlier run of the node is of no use: the run that it was about is over.
-        long startedUs =
-                words.stream()
+    Optional<NodeHint> hint(String nodeId, long listedMicros) {
+        // The latest start counts, be it observed or from the own node list: the node is then taken
+        // to be colder. Observations of an earlier run of the node say nothing about this one.
+        long startedMicros =
+                observations.stream()
                         .mapToLong(NodeObservation::startedMicros)
-                        .reduce(listedUs, Math::max);
-        words = words.stream().filter(word -> word.startedMicros() == startedUs).toList();
+                        .reduce(listedMicros, Math::max);
+        observations =
+                observations.stream()
+                        .filter(observation -> observation.startedMicros() == startedMicros)
+                        .toList();
         Optional<Instant> newest =
-                words.stream().map(NodeObservation::observedAt).max(Instant::compareTo);
+                observations.stream().map(NodeObservation::observedAt).max(Instant::compareTo);
         if (newest.isEmpty()
-                || Duration.between(newest.get(), now).compareTo(ObservationWeights.LIFE) > 0) {
+                || Duration.between(newest.get(), now).compareTo(ObservationWeights.MAX_AGE) > 0) {
             return Optional.empty();
         }
         Set<Origin> origins =
-                words.stream().map(NodeObservation::origin).collect(Collectors.toSet());
-        double pace =
-                mean(
+                observations.stream().map(NodeObservation::origin).collect(Collectors.toSet());
+        double serviceTimePerUnitMicros =
+                weightedMean(
                         NodeObservation::serviceTimePerUnitMicros,
-                        ObservationWeights.PACE_HALF,
-                        averagePace);
+                        ObservationWeights.SERVICE_TIME_HALF_LIFE,
+                        averageServiceTimeMicros);
         return Optional.of(
                 new NodeHint(
-                        node,
-                        pace,
-                        mean(NodeObservation::backlogMicros, ObservationWeights.BACKLOG_HALF, 0),
-                        mean(NodeObservation::latencyRatio, ObservationWeights.STRAIN_HALF, 0),
-                        mean(NodeObservation::errorRatio, ObservationWeights.ERRORS_HALF, 0),
-                        silent(),
-                        startedUs > listedUs ? startedUs : 0,
+                        nodeId,
+                        serviceTimePerUnitMicros,
+                        weightedMean(
+                                NodeObservation::backlogMicros,
+                                ObservationWeights.BACKLOG_HALF_LIFE,
+                                0),
+                        weightedMean(
+                                NodeObservation::latencyRatio,
+                                ObservationWeights.LATENCY_RATIO_HALF_LIFE,
+                                0),
+                        weightedMean(
+                                NodeObservation::errorRatio,
+                                ObservationWeights.ERROR_RATIO_HALF_LIFE,
+                                0),
+                        isSilent(),
+                        startedMicros > listedMicros ? startedMicros : 0,
                         newest.get(),
                         origins));
     }
 
     /**
-     * A word of silence holds until a later word that the node answers, while that one is fresh.
+     * Whether the node is taken to be silent: an observation of silence holds unless a later one
+     * says that the node answers and is still fresh.
      */
-    private boolean silent() {
-        Optional<Instant> silent = newest(true, ObservationWeights.SILENT_LIFE);
-        Optional<Instant> healthy = newest(false, ObservationWeights.HEALTHY_LIFE);
+    private boolean isSilent() {
+        Optional<Instant> silent = newest(true, ObservationWeights.MAX_SILENT_AGE);
+        Optional<Instant> healthy = newest(false, ObservationWeights.MAX_HEALTHY_AGE);
         return silent.isPresent() && (healthy.isEmpty() || !healthy.get().isAfter(silent.get()));
     }
 
-    private Optional<Instant> newest(boolean silent, Duration life) {
-        return words.stream()
-                .filter(word -> word.isSilent() == silent && word.age(now).compareTo(life) <= 0)
+    private Optional<Instant> newest(boolean silent, Duration maxAge) {
+        return observations.stream()
+                .filter(
+                        observation ->
+                                observation.isSilent() == silent
+                                        && observation.age(now).compareTo(maxAge) <= 0)
                 .map(NodeObservation::observedAt)
                 .max(Instant::compareTo);
     }
 
     /**
-     * The mean by weight, drawn to {@code otherwise} by as much as the best word lacks of full
-     * trust.
+     * The weighted mean of a value, moved towards {@code fallback} by as much as the highest weight
+     * falls short of 1.
      */
-    private double mean(ToDoubleFunction<NodeObservation> figure, Duration half, double otherwise) {
+    private double weightedMean(
+            ToDoubleFunction<NodeObservation> value, Duration halfLife, double fallback) {
         double sum = 0;
         double weights = 0;
-        double best = 0;
-        for (NodeObservation word : words) {
+        double highest = 0;
+        for (NodeObservation observation : observations) {
             double weight =
-                    ObservationWeights.ageWeight(word.age(now), half)
-                            * ObservationWeights.answerCountWeight(word.answerCount())
-                            * standing.applyAsDouble(word.origin());
-            sum += weight * figure.applyAsDouble(word);
+                    ObservationWeights.ageWeight(observation.age(now), halfLife)
+                            * ObservationWeights.answerCountWeight(observation.answerCount())
+                            * trust.applyAsDouble(observation.origin());
+            sum += weight * value.applyAsDouble(observation);
             weights += weight;
-            best = Math.max(best, weight);
+            highest = Math.max(highest, weight);
         }
-        return weights == 0 ? otherwise : otherwise + best * (sum / weights - otherwise);
+        return weights == 0 ? fallback : fallback + highest * (sum / weights - fallback);
     }
 }
--- a/src/main/java/cypressglade/learn/Learner.java
+++ b/src/main/java/cypressglade/learn/Learner.java
@@ -14,237 +14,274 @@
 import java.util.stream.Stream;
 
 /**
- * What one instance knows of the nodes: its own words, made of the module's views, and the words of
- * others. It says what the module is to be told, and what to tell others. Own answers beat hearsay
- * at any age up to {@link #OWN_LIFE}: of such a node nothing is told to the module.
+ * What one instance knows of the nodes: its own observations, taken from the views of the
+ * scheduling policy, and the observations of other instances. It decides which hints the policy
+ * gets, and what is sent to other instances. Own answers take precedence over the observations of
+ * others until they are {@link #MAX_OWN_AGE} old: the policy gets no hint for such a node, unless
+ * another instance knows of a later start of it.
  *
  * <p>Not safe for use by several threads; its owner is one thread.
  */
 public final class Learner {
-    /** The module itself takes a node for average again by then. */
-    static final Duration OWN_LIFE = Duration.ofSeconds(2);
+    /** Age of own answers at which the policy itself takes a node for average again. */
+    static final Duration MAX_OWN_AGE = Duration.ofSeconds(2);
 
-    /** A view this fresh shows the node as its last answers did, not yet drawn to the average. */
-    private static final Duration FRESH = Duration.ofMillis(600);
+    /**
+     * Age of the last answer up to which a view shows what the answers said; an older view is
+     * already moved towards the average.
+     */
+    private static final Duration MAX_FRESH_AGE = Duration.ofMillis(600);
 
-    /** Between two hints on one node: each takes its window back to the start. */
-    private static final Duration HINT_GAP = Duration.ofSeconds(1);
+    /** Between two hints for one node: each resets the node's window to its start value. */
+    private static final Duration MIN_HINT_INTERVAL = Duration.ofSeconds(1);
 
-    /** What is seen to be silent for the first time. */
-    private static final Duration LEAST_SILENCE = Duration.ofMillis(1);
+    /** Silence of a node that is seen to be silent for the first time. */
+    private static final Duration MIN_SILENCE = Duration.ofMillis(1);
 
-    /** A taught pace has held where the own one is within this factor. */
-    private static final double HELD_FACTOR = 3;
+    /** A hinted service time is confirmed if this instance's own is within this factor of it. */
+    private static final double MAX_CONFIRMED_RATIO = 3;
 
-    private static final int ANSWERS_TO_JUDGE = 4;
-    private static final int MOST_ORIGINS = 256;
-    private static final double START_PACE_US = 13_000;
+    private static final int MIN_ANSWERS_TO_JUDGE = 4;
+    private static final int MAX_ORIGINS = 256;
+    private static final double DEFAULT_SERVICE_TIME_MICROS = 13_000;
 
-    /** What became of words, over the life of the instance. */
+    /**
+     * Counters since the start of the instance. They are reported to operators by their names,
+     * which must not change; WORDS stands for observations.
+     */
     public enum Count {
+        /** Observations of others that were stored. */
         WORDS_TAKEN,
+        /** Observations that are not newer than what is stored. */
         WORDS_KNOWN,
+        /** Observations that this instance made itself, received back. */
         WORDS_ECHOED,
+        /** Observations with values out of range. */
         WORDS_REFUSED,
+        /** Observations dropped because too many nodes are known. */
         WORDS_NO_ROOM,
+        /** Observations older than the maximum age, on receipt or later. */
         WORDS_AGED_OUT,
+        /** Hints given to the scheduling policy. */
         HINTS_TAKEN,
+        /** Hints that this instance's own answers confirmed. */
         HINTS_CONFIRMED,
+        /** Hints that this instance's own answers contradicted. */
         HINTS_CONTRADICTED
     }
 
     private final Origin self;
-    private final PeerObservations hearsay;
-    private Map<String, NodeObservation> own = new LinkedHashMap<>();
-    private final Map<String, Given> given = new HashMap<>();
-    private final Map<Origin, Double> standing = new LinkedHashMap<>();
+    private final PeerObservations peerObservations;
+    private Map<String, NodeObservation> ownObservations = new LinkedHashMap<>();
+    private final Map<String, GivenHint> givenHints = new HashMap<>();
+    private final Map<Origin, Double> trustByOrigin = new LinkedHashMap<>();
     private final Map<Count, Long> counts = new EnumMap<>(Count.class);
 
-    /** A hint that is not yet judged, or was. */
-    private record Given(NodeHint taught, Instant at, boolean judged) {}
+    /** The last hint for a node, and whether own answers have confirmed or contradicted it yet. */
+    private record GivenHint(NodeHint hint, Instant at, boolean isJudged) {}
 
     /**
-     * Nothing is known at first.
+     * Starts without any observations.
      *
-     * @param mostNodes nodes that words of others are kept of, at three words each
+     * @param self this instance in its present generation
+     * @param maxNodes number of nodes of which observations of others are kept, at most three each
      */
-    public Learner(Origin self, int mostNodes) {
+    public Learner(Origin self, int maxNodes) {
         this.self = self;
-        this.hearsay = new PeerObservations(mostNodes);
+        this.peerObservations = new PeerObservations(maxNodes);
         for (Count count : Count.values()) {
             counts.put(count, 0L);
         }
     }
 
+    /** This instance in its present generation. */
     public Origin self() {
         return self;
     }
 
+    /** The value of a counter. */
     public long count(Count count) {
         return counts.get(count);
     }
 
     /**
-     * Takes in what another told; each word was aged by its way before. Returns how many were new.
+     * Stores the observations that another instance sent; their ages must include the time that
+     * they took to arrive. Returns how many were new.
      */
-    public int receive(List<NodeObservation> words, Instant now) {
-        int taken = 0;
-        for (NodeObservation word : words) {
-            Count count = judge(word, now);
+    public int receive(List<NodeObservation> observations, Instant now) {
+        int added = 0;
+        for (NodeObservation observation : observations) {
+            Count count = receive(observation, now);
             counts.merge(count, 1L, Long::sum);
-            taken += count == Count.WORDS_TAKEN ? 1 : 0;
+            added += count == Count.WORDS_TAKEN ? 1 : 0;
         }
-        return taken;
+        return added;
     }
 
-    private Count judge(NodeObservation word, Instant now) {
-        if (word.origin().generation() == self.generation()) {
-            return Count.WORDS_ECHOED; // what this instance said is no evidence to it
-        } else if (!word.isPlausible(now)) {
+    private Count receive(NodeObservation observation, Instant now) {
+        if (observation.origin().generation() == self.generation()) {
+            return Count.WORDS_ECHOED; // What this instance observed is no further evidence to it.
+        } else if (!observation.isPlausible(now)) {
             return Count.WORDS_REFUSED;
-        } else if (word.age(now).compareTo(ObservationWeights.LIFE) > 0) {
+        } else if (observation.age(now).compareTo(ObservationWeights.MAX_AGE) > 0) {
             return Count.WORDS_AGED_OUT;
         }
-        return switch (hearsay.add(word)) {
-            case TAKEN -> Count.WORDS_TAKEN;
+        return switch (peerObservations.add(observation)) {
+            case ADDED -> Count.WORDS_TAKEN;
             case KNOWN -> Count.WORDS_KNOWN;
             case NO_ROOM -> Count.WORDS_NO_ROOM;
         };
     }
 
-    /** Takes in the module's views: makes own words of them, and judges by them what was taught. */
+    /**
+     * Takes the scheduling policy's views of all nodes: makes own observations of them, and judges
+     * by them the hints that were given.
+     */
     public void observe(List<NodeFact> facts, Instant now) {
-        counts.merge(Count.WORDS_AGED_OUT, (long) hearsay.removeExpired(now), Long::sum);
-        Map<String, NodeObservation> words = new LinkedHashMap<>();
+        counts.merge(Count.WORDS_AGED_OUT, (long) peerObservations.removeExpired(now), Long::sum);
+        Map<String, NodeObservation> observations = new LinkedHashMap<>();
         for (NodeFact fact : facts) {
             NodeView view = fact.view();
             String id = fact.known().id();
-            NodeObservation before = own.get(id);
+            NodeObservation before = ownObservations.get(id);
             if (!view.guarded() && view.silent()) {
                 Duration silentFor =
                         before != null && before.isSilent()
                                 ? before.silentFor().plus(before.age(now))
-                                : LEAST_SILENCE;
-                words.put(id, NodeObservation.fromView(id, view, silentFor, now, self));
+                                : MIN_SILENCE;
+                observations.put(id, NodeObservation.fromView(id, view, silentFor, now, self));
             } else if (!view.guarded() && view.answeredAgoUs() >= 0) {
                 Duration ago = Duration.ofNanos(view.answeredAgoUs() * 1000);
-                boolean fresh = ago.compareTo(FRESH) <= 0;
-                words.put(
+                boolean isFresh = ago.compareTo(MAX_FRESH_AGE) <= 0;
+                observations.put(
                         id,
-                        fresh || before == null || before.startedMicros() != view.startedUs()
+                        isFresh || before == null || before.startedMicros() != view.startedUs()
                                 ? NodeObservation.fromView(
                                         id, view, Duration.ZERO, now.minus(ago), self)
                                 : before);
             } else if (before != null
                     && before.startedMicros() == view.startedUs()
                     && !(before.isSilent() && seenSince(before.observedAt(), view, now))) {
-                // The module holds a node for silent only while something is out there. Until a
-                // sign of life comes the word stands, at the age of what it was seen by.
-                words.put(id, before);
+                // The policy takes a node for silent only while an attempt is in flight there. The
+                // observation stays until there is a sign of life, and keeps its age.
+                observations.put(id, before);
             }
-            judge(fact);
+            judgeHint(fact);
         }
-        words.values().removeIf(word -> word.age(now).compareTo(ObservationWeights.LIFE) > 0);
-        own = words;
-        given.keySet().retainAll(facts.stream().map(fact -> fact.known().id()).toList());
+        observations
+                .values()
+                .removeIf(
+                        observation ->
+                                observation.age(now).compareTo(ObservationWeights.MAX_AGE) > 0);
+        ownObservations = observations;
+        givenHints.keySet().retainAll(facts.stream().map(fact -> fact.known().id()).toList());
     }
 
+    /** Whether a sign of life came from a node at or after a time. */
     private static boolean seenSince(Instant then, NodeView view, Instant now) {
         return view.seenAgoUs() >= 0 && !now.minusNanos(view.seenAgoUs() * 1000).isBefore(then);
     }
 
-    private void judge(NodeFact fact) {
-        Given hint = given.get(fact.known().id());
+    /** Compares the last hint for a node with this instance's own view, once there is one. */
+    private void judgeHint(NodeFact fact) {
+        GivenHint given = givenHints.get(fact.known().id());
         NodeView view = fact.view();
-        if (hint == null || hint.judged() || view.guarded()) {
+        if (given == null || given.isJudged() || view.guarded()) {
             return;
         }
-        boolean bothAnswer = !view.silent() && !hint.taught().silent();
-        if (bothAnswer && view.answers() < ANSWERS_TO_JUDGE) {
-            return; // the pace is judged by a few answers
+        boolean bothAnswer = !view.silent() && !given.hint().silent();
+        if (bothAnswer && view.answers() < MIN_ANSWERS_TO_JUDGE) {
+            return; // A service time is judged by several answers.
         }
-        double ratio = view.paceUs() / hint.taught().serviceTimePerUnitMicros();
-        boolean held =
+        double ratio = view.paceUs() / given.hint().serviceTimePerUnitMicros();
+        boolean isConfirmed =
                 bothAnswer
-                        ? ratio < HELD_FACTOR && ratio > 1 / HELD_FACTOR
-                        : view.silent() == hint.taught().silent();
-        counts.merge(held ? Count.HINTS_CONFIRMED : Count.HINTS_CONTRADICTED, 1L, Long::sum);
-        hint.taught()
+                        ? ratio < MAX_CONFIRMED_RATIO && ratio > 1 / MAX_CONFIRMED_RATIO
+                        : view.silent() == given.hint().silent();
+        counts.merge(isConfirmed ? Count.HINTS_CONFIRMED : Count.HINTS_CONTRADICTED, 1L, Long::sum);
+        given.hint()
                 .origins()
                 .forEach(
                         origin ->
-                                standing.put(
+                                trustByOrigin.put(
                                         origin,
-                                        ObservationWeights.updatedTrust(standing(origin), held)));
-        while (standing.size() > MOST_ORIGINS) {
-            standing.remove(standing.keySet().iterator().next());
+                                        ObservationWeights.updatedTrust(
+                                                trust(origin), isConfirmed)));
+        while (trustByOrigin.size() > MAX_ORIGINS) {
+            trustByOrigin.remove(trustByOrigin.keySet().iterator().next());
         }
-        given.put(fact.known().id(), new Given(hint.taught(), hint.at(), true));
+        givenHints.put(fact.known().id(), new GivenHint(given.hint(), given.at(), true));
     }
 
-    private double standing(Origin origin) {
-        return standing.getOrDefault(origin, 1.0);
+    private double trust(Origin origin) {
+        return trustByOrigin.getOrDefault(origin, 1.0);
     }
 
-    /** What the module is to be told now; each call counts as told. */
+    /** The hints to give to the scheduling policy now; those returned count as given. */
     public List<NodeHint> hints(List<NodeFact> facts, Instant now) {
-        double average =
-                hearsay.all()
-                        .filter(word -> !word.isSilent())
+        double averageMicros =
+                peerObservations
+                        .all()
+                        .filter(observation -> !observation.isSilent())
                         .mapToDouble(NodeObservation::serviceTimePerUnitMicros)
                         .average()
-                        .orElse(START_PACE_US);
+                        .orElse(DEFAULT_SERVICE_TIME_MICROS);
         List<NodeHint> hints = new ArrayList<>();
         for (NodeFact fact : facts) {
             String id = fact.known().id();
-            if (!fact.view().ready() || hearsay.observationsOf(id).isEmpty()) {
+            if (!fact.view().ready() || peerObservations.observationsOf(id).isEmpty()) {
                 continue;
             }
-            new HintEstimator(hearsay.observationsOf(id), now, average, this::standing)
+            new HintEstimator(peerObservations.observationsOf(id), now, averageMicros, this::trust)
                     .hint(id, fact.view().startedUs())
-                    .filter(taught -> isNews(taught, fact.view(), now))
+                    .filter(hint -> isUseful(hint, fact.view(), now))
                     .ifPresent(
-                            taught -> {
-                                given.put(id, new Given(taught, now, false));
+                            hint -> {
+                                givenHints.put(id, new GivenHint(hint, now, false));
                                 counts.merge(Count.HINTS_TAKEN, 1L, Long::sum);
-                                hints.add(taught);
+                                hints.add(hint);
                             });
         }
         return hints;
     }
 
-    /** Whether a belief tells more than the module knows and was told. */
-    private boolean isNews(NodeHint taught, NodeView view, Instant now) {
-        Given before = given.get(taught.nodeId());
-        boolean colder =
-                taught.startedMicros() > (before == null ? 0 : before.taught().startedMicros());
-        boolean ownKnowledge =
+    /** Whether a hint says more than the policy observed itself and was told before. */
+    private boolean isUseful(NodeHint hint, NodeView view, Instant now) {
+        GivenHint before = givenHints.get(hint.nodeId());
+        boolean isColder =
+                hint.startedMicros() > (before == null ? 0 : before.hint().startedMicros());
+        boolean hasOwnKnowledge =
                 !view.guarded()
                         && (view.silent()
                                 || view.seenAgoUs() >= 0
-                                        && view.seenAgoUs() <= OWN_LIFE.toNanos() / 1000);
-        boolean newer =
+                                        && view.seenAgoUs() <= MAX_OWN_AGE.toNanos() / 1000);
+        boolean isNewer =
                 before == null
-                        || taught.newestObservedAt().isAfter(before.taught().newestObservedAt())
-                                && Duration.between(before.at(), now).compareTo(HINT_GAP) >= 0;
+                        || hint.newestObservedAt().isAfter(before.hint().newestObservedAt())
+                                && Duration.between(before.at(), now).compareTo(MIN_HINT_INTERVAL)
+                                        >= 0;
         Instant seen = view.seenAgoUs() < 0 ? Instant.MIN : now.minusNanos(view.seenAgoUs() * 1000);
-        return colder || !ownKnowledge && newer && taught.newestObservedAt().isAfter(seen);
+        return isColder || !hasOwnKnowledge && isNewer && hint.newestObservedAt().isAfter(seen);
     }
 
     /**
-     * What to tell others, the youngest first; a word of another goes on with its origin and its
-     * age.
+     * The observations to send to other instances, the youngest first: own ones, and those of
+     * others with their origin and age unchanged.
+     *
+     * @param max how many are returned at most
      */
-    public List<NodeObservation> observations(Instant now, int most) {
-        return Stream.concat(own.values().stream(), hearsay.all())
-                .filter(word -> word.age(now).compareTo(ObservationWeights.LIFE) <= 0)
+    public List<NodeObservation> observations(Instant now, int max) {
+        return Stream.concat(ownObservations.values().stream(), peerObservations.all())
+                .filter(
+                        observation ->
+                                observation.age(now).compareTo(ObservationWeights.MAX_AGE) <= 0)
                 .sorted(Comparator.comparing(NodeObservation::observedAt).reversed())
-                .limit(most)
+                .limit(max)
                 .toList();
     }
 
-    /** How many words of others are kept. */
+    /** Number of observations of others that are stored. */
     public int peerObservationCount() {
-        return hearsay.size();
+        return peerObservations.size();
     }
 }
--- a/src/main/java/cypressglade/learn/PeerObservations.java
+++ b/src/main/java/cypressglade/learn/PeerObservations.java
@@ -9,78 +9,86 @@
 import java.util.stream.Stream;
 
 /**
- * Words of others, the latest of each origin, a few origins a node, and a bounded number of nodes.
- * Nothing is merged here: a word keeps its origin and its age through all hands, so that it can be
- * weighed anew at any time and never looks younger than it is.
+ * The observations of other instances: the latest of each origin, of a few origins per node, for a
+ * bounded number of nodes. They are not merged here: an observation keeps its origin and its age
+ * however often it is passed on, so that it can be weighed again at any time and never looks
+ * younger than it is. Not safe for use by several threads.
  */
 final class PeerObservations {
-    static final int ORIGINS = 3;
+    static final int MAX_ORIGINS_PER_NODE = 3;
 
-    private final int mostNodes;
+    private final int maxNodes;
     private final Map<String, List<NodeObservation>> byNode = new HashMap<>();
 
-    /** What became of a word. */
+    /** The result of adding an observation. */
     enum Result {
-        TAKEN,
+        /** Stored. */
+        ADDED,
+        /** Not newer than what is stored. */
         KNOWN,
+        /** Dropped: the maximum number of nodes is reached. */
         NO_ROOM
     }
 
-    PeerObservations(int mostNodes) {
-        this.mostNodes = mostNodes;
+    PeerObservations(int maxNodes) {
+        this.maxNodes = maxNodes;
     }
 
-    /** Takes a word that was checked. */
-    Result add(NodeObservation word) {
-        List<NodeObservation> words = byNode.get(word.nodeId());
-        if (words == null) {
-            if (byNode.size() >= mostNodes) {
+    /** Adds an observation that was found plausible. */
+    Result add(NodeObservation observation) {
+        List<NodeObservation> ofNode = byNode.get(observation.nodeId());
+        if (ofNode == null) {
+            if (byNode.size() >= maxNodes) {
                 return Result.NO_ROOM;
             }
-            byNode.put(word.nodeId(), new ArrayList<>(List.of(word)));
-            return Result.TAKEN;
+            byNode.put(observation.nodeId(), new ArrayList<>(List.of(observation)));
+            return Result.ADDED;
         }
-        // One instance has one view of a node, through all of its lives: its latest.
-        for (int i = 0; i < words.size(); i++) {
-            if (words.get(i).origin().name().equals(word.origin().name())) {
-                if (!word.observedAt().isAfter(words.get(i).observedAt())) {
+        // An instance has one observation of a node, its latest, whatever its generation was.
+        for (int i = 0; i < ofNode.size(); i++) {
+            if (ofNode.get(i).origin().name().equals(observation.origin().name())) {
+                if (!observation.observedAt().isAfter(ofNode.get(i).observedAt())) {
                     return Result.KNOWN;
                 }
-                words.set(i, word);
-                return Result.TAKEN;
+                ofNode.set(i, observation);
+                return Result.ADDED;
             }
         }
-        if (words.size() >= ORIGINS) {
+        if (ofNode.size() >= MAX_ORIGINS_PER_NODE) {
             NodeObservation oldest =
-                    words.stream()
+                    ofNode.stream()
                             .min(Comparator.comparing(NodeObservation::observedAt))
                             .orElseThrow();
-            if (!word.observedAt().isAfter(oldest.observedAt())) {
+            if (!observation.observedAt().isAfter(oldest.observedAt())) {
                 return Result.KNOWN;
             }
-            words.remove(oldest);
+            ofNode.remove(oldest);
         }
-        words.add(word);
-        return Result.TAKEN;
+        ofNode.add(observation);
+        return Result.ADDED;
     }
 
-    List<NodeObservation> observationsOf(String node) {
-        return byNode.getOrDefault(node, List.of());
+    /** The observations of one node; empty where there are none. */
+    List<NodeObservation> observationsOf(String nodeId) {
+        return byNode.getOrDefault(nodeId, List.of());
     }
 
     Stream<NodeObservation> all() {
         return byNode.values().stream().flatMap(List::stream);
     }
 
-    /** Forgets what is too old; returns how many words that were. */
+    /** Removes observations older than the maximum age; returns how many there were. */
     int removeExpired(Instant now) {
         int before = size();
         byNode.values()
                 .forEach(
-                        words ->
-                                words.removeIf(
-                                        word ->
-                                                word.age(now).compareTo(ObservationWeights.LIFE)
+                        ofNode ->
+                                ofNode.removeIf(
+                                        observation ->
+                                                observation
+                                                                .age(now)
+                                                                .compareTo(
+                                                                        ObservationWeights.MAX_AGE)
                                                         > 0));
         byNode.values().removeIf(List::isEmpty);
         return before - size();
--- a/src/main/java/cypressglade/learn/package-info.java
+++ b/src/main/java/cypressglade/learn/package-info.java
@@ -1,6 +1,8 @@
 /**
- * What instances tell each other of the storage nodes, and how far it is believed. Decides only:
- * time comes in as an argument, words come in as values, and nothing here reads a clock, a socket
- * or a file.
+ * What the instances tell each other of the storage nodes: how observations are stored, aged and
+ * weighted, and which hints the scheduling policy gets from them.
+ *
+ * <p>Time is an argument and observations are values. The package must not depend on clocks,
+ * sockets, files, or the protocol that carries the observations.
  */
 package cypressglade.learn;
--- a/src/main/java/cypressglade/member/GossipQueue.java
+++ b/src/main/java/cypressglade/member/GossipQueue.java
@@ -8,60 +8,70 @@
 import java.util.TreeSet;
 
 /**
- * Changes still passed on: those told least go first, the newest among them, each a bounded number
- * of times (SWIM, 4.1). What was only read in another's whole list goes after what somebody found
- * out: a thousand members learned from one list would otherwise hold back a verdict once it has
- * been told once, for as long as any of them is untold (measured: the last of 999 members held a
- * crashed one dead after 52 s, the median after 9 s). Kept in that order, so that a message takes
- * its news in time by how many it takes, not by how many wait.
+ * Updates that are still to be passed on. Those sent least often go first, the newest among them
+ * first, and each is sent a bounded number of times (SWIM, 4.1).
+ *
+ * <p>Updates taken from another member's whole list go after those that somebody found out itself.
+ * Otherwise a thousand members learned from one list would delay an update that has been sent once
+ * until all of them have been sent: the last of 999 members then declared a crashed one dead after
+ * 52 s, with a median of 9 s.
+ *
+ * <p>The queue is kept sorted, so that the time to fill a message depends on the updates that it
+ * takes, not on those that wait.
  */
 final class GossipQueue {
-    private static final Comparator<Rumour> ORDER =
-            Comparator.comparing((Rumour rumour) -> rumour.news.reportedBy().isEmpty())
-                    .thenComparingInt((Rumour rumour) -> rumour.told)
+    private static final Comparator<QueuedUpdate> SEND_ORDER =
+            Comparator.comparing((QueuedUpdate queued) -> queued.update.reportedBy().isEmpty())
+                    .thenComparingInt((QueuedUpdate queued) -> queued.transmissions)
                     .thenComparing(
-                            Comparator.comparingLong((Rumour rumour) -> rumour.number).reversed());
+                            Comparator.comparingLong((QueuedUpdate queued) -> queued.number)
+                                    .reversed());
 
-    private final Map<String, Rumour> byName = new HashMap<>();
-    private final TreeSet<Rumour> waiting = new TreeSet<>(ORDER);
-    private long order;
+    private final Map<String, QueuedUpdate> byName = new HashMap<>();
+    private final TreeSet<QueuedUpdate> queue = new TreeSet<>(SEND_ORDER);
+    private long lastNumber;
 
-    private static final class Rumour {
-        private final MemberUpdate news;
+    private static final class QueuedUpdate {
+        private final MemberUpdate update;
         private final long number;
-        private int told;
+        private int transmissions;
 
-        private Rumour(MemberUpdate news, long number) {
-            this.news = news;
+        private QueuedUpdate(MemberUpdate update, long number) {
+            this.update = update;
             this.number = number;
         }
     }
 
-    /** Takes the place of what was told of the same member before. */
-    void add(MemberUpdate news) {
-        Rumour fresh = new Rumour(news, ++order);
-        Rumour before = byName.put(news.member().name(), fresh);
-        if (before != null) {
-            waiting.remove(before);
+    /** Queues an update; it replaces a queued one of the same member. */
+    void add(MemberUpdate update) {
+        QueuedUpdate added = new QueuedUpdate(update, ++lastNumber);
+        QueuedUpdate replaced = byName.put(update.member().name(), added);
+        if (replaced != null) {
+            queue.remove(replaced);
         }
-        waiting.add(fresh);
+        queue.add(added);
     }
 
-    /** What goes with the next message; counts as told. */
-    List<MemberUpdate> next(int most, int times) {
-        List<Rumour> first = new ArrayList<>(most);
-        while (first.size() < most && !waiting.isEmpty()) {
-            first.add(waiting.pollFirst());
+    /**
+     * Returns the updates for the next message and counts each as sent once more.
+     *
+     * @param maxUpdates updates that the message has room for
+     * @param maxTransmissions after how many sends an update leaves the queue
+     */
+    List<MemberUpdate> next(int maxUpdates, int maxTransmissions) {
+        List<QueuedUpdate> first = new ArrayList<>(maxUpdates);
+        while (first.size() < maxUpdates && !queue.isEmpty()) {
+            first.add(queue.pollFirst());
         }
-        List<MemberUpdate> news = new ArrayList<>(first.size());
-        for (Rumour rumour : first) {
-            news.add(rumour.news);
-            if (++rumour.told >= times) {
-                byName.remove(rumour.news.member().name());
+        List<MemberUpdate> updates = new ArrayList<>(first.size());
+        for (QueuedUpdate queued : first) {
+            updates.add(queued.update);
+            if (++queued.transmissions >= maxTransmissions) {
+                byName.remove(queued.update.member().name());
             } else {
-                waiting.add(rumour);
+                queue.add(queued);
             }
         }
-        return news;
+        return updates;
     }
 }
--- a/src/main/java/cypressglade/member/LocalHealth.java
+++ b/src/main/java/cypressglade/member/LocalHealth.java
@@ -3,59 +3,58 @@
 import java.time.Duration;
 
 /**
- * How well this member itself keeps time: Lifeguard's local health multiplier. A member that misses
- * what it should have heard (its probes fail, its helpers send no nack, it has to refute a
- * suspicion of itself) is more likely the slow one than the others are dead; it then waits longer
- * before it judges. Guards against a stalled or paused process declaring healthy members dead. Not
- * safe for use by several threads.
+ * The local health multiplier of Lifeguard (Dadgar, Phillips, Currey, "Lifeguard: Local Health
+ * Awareness for More Accurate Failure Detection", 2018). A member that misses messages that it
+ * should have received (its probes fail, the members that it asked for indirect probes send no
+ * nack, it has to refute a suspicion of itself) is more likely to be slow itself than the others
+ * are to be dead, so it waits longer before it suspects them. This keeps a stalled or paused
+ * process from declaring healthy members dead. Not safe for use by several threads.
  */
 public final class LocalHealth {
     /**
-     * The highest score: waits are at most four times as long. Lifeguard has 8; then the smaller
-     * side of a split, whose probes mostly fail, takes more than 40 periods to its verdicts. A
-     * pause is seen by its own clock.
+     * Highest score, at which waits are four times as long. Lifeguard uses 8; with that, the
+     * smaller side of a partition, whose probes mostly fail, needs more than 40 protocol periods to
+     * declare members dead. A pause of this process is detected by its own clock instead.
      */
     public static final int MAX_SCORE = 3;
 
     private int score;
-    private long raised;
+    private long increases;
 
-    /** 0 for a member that has missed nothing lately, up to {@link #MAX_SCORE}. */
+    /** The current score: 0 while nothing was missed lately, up to {@link #MAX_SCORE}. */
     public int score() {
         return score;
     }
 
-    /** How often the score went up since the start. */
+    /** Number of times that the score was raised since the start. */
     public long increases() {
-        return raised;
+        return increases;
     }
 
-    /**
-     * A wait of the protocol, as long as this member's health allows: {@code (score + 1)} times.
-     */
+    /** Returns {@code wait} multiplied by {@code score + 1}. */
     public Duration scale(Duration wait) {
         return wait.multipliedBy(score + 1L);
     }
 
-    /** A probe of this member's came back answered. */
+    /** Lowers the score: a probe of this member was acknowledged. */
     public void probeAnswered() {
         score = Math.max(0, score - 1);
     }
 
-    /** A probe of this member's got no answer, directly or through others. */
+    /** Raises the score: a probe of this member got neither a direct nor an indirect ack. */
     public void probeFailed() {
         raise();
     }
 
     /**
-     * Helpers that were asked to ping sent no nack either: the messages of this member itself are
-     * late.
+     * Raises the score: a member that was asked for an indirect probe sent no nack either, so this
+     * member's own messages are probably late.
      */
     public void nackMissed() {
         raise();
     }
 
-    /** Others suspected this member while it was alive. */
+    /** Raises the score: others suspected this member, which had to refute it. */
     public void refuted() {
         raise();
     }
@@ -63,7 +62,7 @@
     private void raise() {
         if (score < MAX_SCORE) {
             score++;
-            raised++;
+            increases++;
         }
     }
 }
--- a/src/main/java/cypressglade/member/MemberUpdate.java
+++ b/src/main/java/cypressglade/member/MemberUpdate.java
@@ -1,9 +1,11 @@
 package cypressglade.member;
 
 /**
- * A change that is passed on.
+ * A change of a member's state, passed on by gossip.
  *
- * @param reportedBy who found out, which counts where several suspect the same; empty where that is
- *     not known, as in a whole list: who passes a suspicion on has not tried for itself
+ * @param member the member in its new state
+ * @param reportedBy name of the member that found the change out itself, by which independent
+ *     suspicions of one member are counted; empty where that is not known, as in a whole member
+ *     list: passing a suspicion on does not confirm it
  */
 public record MemberUpdate(Member member, String reportedBy) {}
--- a/src/main/java/cypressglade/member/Message.java
+++ b/src/main/java/cypressglade/member/Message.java
@@ -4,12 +4,16 @@
 import java.util.List;
 
 /**
- * What instances send each other. The first of the news is always the sender itself.
+ * A protocol message between two instances, with the membership updates that it carries. The first
+ * update is always the sender itself.
  *
- * @param sequenceNumber of the ping that this is, or answers, on the side that sent the ping
- * @param target whom a ping is meant for, empty where the sender knows an address only; whom to ask
- *     in the sender's stead
- * @param targetAddress where that one is, for an indirect ping
+ * @param kind what the message asks or answers
+ * @param sequenceNumber of the ping that this message is, or answers, as numbered by the ping's
+ *     sender; 0 in an ack that only carries updates
+ * @param target name of the member that a ping is meant for, empty where the sender knows only an
+ *     address; in a ping-req the member to ping on the sender's behalf; otherwise empty
+ * @param targetAddress address of that member in a ping-req, otherwise null
+ * @param updates membership updates; empty only in malformed messages
  */
 public record Message(
         Kind kind,
@@ -18,13 +22,17 @@
         InetSocketAddress targetAddress,
         List<MemberUpdate> updates) {
     /**
-     * The kinds of SWIM, and Lifeguard's nack: a helper that asked for another heard nothing in
-     * time.
+     * The message kinds of SWIM, and the nack of Lifeguard. They are sent by their ordinals, so
+     * their order must not change.
      */
     public enum Kind {
+        /** Asks for an ack. */
         PING,
+        /** Answers a ping; also carries updates unasked. */
         ACK,
+        /** Asks the receiver to ping another member: an indirect probe. */
         PING_REQ,
+        /** Tells the sender of a ping-req that its target has not answered in time. */
         NACK
     }
 }
--- a/src/main/java/cypressglade/member/RecentMembers.java
+++ b/src/main/java/cypressglade/member/RecentMembers.java
@@ -5,38 +5,51 @@
 import java.util.TreeMap;
 
 /**
- * How many instances share what all together may send, and which of them this one is. Who was seen
- * within the hold counts: an instance that this one lost sight of may well be running on the far
- * side of a partition, and two halves that each took the whole would send a cold node twice what it
- * can take.
+ * Counts the instances that share a common limit, and ranks this one among them. A member counts
+ * until it has not been seen for the retention time: a member that this instance no longer reaches
+ * may still be running on the other side of a partition, and if both sides each used the whole
+ * limit, a cold node would get twice the load that it can take. Not safe for use by several
+ * threads.
  */
 public final class RecentMembers {
     private final String self;
-    private final Duration hold;
-    private final TreeMap<String, Instant> seen = new TreeMap<>();
+    private final Duration retention;
+    private final TreeMap<String, Instant> lastSeen = new TreeMap<>();
 
-    /** This one's rank among so many. */
+    /**
+     * This instance's position among those that share a limit.
+     *
+     * @param rank position by name, from 0 to {@code instances - 1}
+     * @param instances number of instances, this one included; at least 1
+     */
     public record Share(int rank, int instances) {}
 
-    public RecentMembers(String self, Duration hold) {
+    /**
+     * Starts with no member seen.
+     *
+     * @param self name of this instance
+     * @param retention how long a member that is no longer seen still counts
+     */
+    public RecentMembers(String self, Duration retention) {
         this.self = self;
-        this.hold = hold;
+        this.retention = retention;
     }
 
     /**
-     * Takes in who is there now, this one among them or not; who left in order no longer counts at
-     * once.
+     * Records which members are present now and returns this instance's share. This instance always
+     * counts, whether or not it is among the members given. A member that left in order stops
+     * counting at once.
      */
     public Share update(Iterable<Member> members, Instant now) {
         for (Member member : members) {
             if (member.isPresent()) {
-                seen.put(member.name(), now);
+                lastSeen.put(member.name(), now);
             } else if (member.state() == Member.State.LEFT) {
-                seen.remove(member.name());
+                lastSeen.remove(member.name());
             }
         }
-        seen.values().removeIf(at -> at.plus(hold).isBefore(now));
-        seen.put(self, now);
-        return new Share(seen.headMap(self).size(), seen.size());
+        lastSeen.values().removeIf(at -> at.plus(retention).isBefore(now));
+        lastSeen.put(self, now);
+        return new Share(lastSeen.headMap(self).size(), lastSeen.size());
     }
 }
--- a/src/main/java/cypressglade/member/ReplayGuard.java
+++ b/src/main/java/cypressglade/member/ReplayGuard.java
@@ -5,64 +5,82 @@
 import java.util.Map;
 
 /**
- * Tells messages of now from recorded ones, without clocks. Each instance draws a number for its
- * life at its start; a message names the life that it is meant for and carries a number of its own,
- * which counts once (a sliding window as in RFC 4303, 3.4.3). Who does not know the life of a
- * receiver yet is told it, and that answer names the asker's life in turn, so a recording of either
- * is of no use.
+ * Tells current messages from replayed ones without relying on clocks. Each instance draws a random
+ * generation at its start; a message names the generation of its receiver and carries a sequence
+ * number of its sender that is accepted once (a sliding window as in RFC 4303, 3.4.3). A sender
+ * that does not know the receiver's generation yet is told it; that answer in turn names the
+ * sender's generation, so replaying either message has no effect. Not safe for use by several
+ * threads.
  */
 public final class ReplayGuard {
     private static final int WINDOW = 64;
-    private static final int MOST_PEERS = 1024;
+    private static final int MAX_PEERS = 1024;
 
     private final long self;
     private long lastNumber;
     private final Map<Long, Window> windows = bounded();
-    private final Map<InetSocketAddress, Long> lives = bounded();
+    private final Map<InetSocketAddress, Long> generations = bounded();
 
-    /** What a message is. */
+    /** The result of checking a message. */
     public enum Verdict {
+        /** Meant for this generation, and not seen before. */
         FRESH,
+        /** Names another generation of this instance, or none. */
         UNKNOWN_GENERATION,
+        /** Its sequence number was seen before, or is too old to tell. */
         REPLAYED
     }
 
+    /** The sequence numbers that were received of one generation. */
     private static final class Window {
         private long highest;
-        private long seen; // bit i: highest - i came
+        private long seen; // bit i: number highest - i was received
     }
 
+    /**
+     * Starts with no peer known.
+     *
+     * @param self generation of this instance
+     */
     public ReplayGuard(long self) {
         this.self = self;
     }
 
+    /** A map that drops its least recently used entry beyond {@link #MAX_PEERS}. */
     private static <K, V> Map<K, V> bounded() {
         return new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1L;
 
             @Override
             protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-                return size() > MOST_PEERS;
+                return size() > MAX_PEERS;
             }
         };
     }
 
-    /** The number of the next message that goes out. */
+    /** The sequence number for the next message that is sent; starts at 1. */
     public long nextSequenceNumber() {
         return ++lastNumber;
     }
 
-    /** The life to name in a message there; 0 where it is not known. */
+    /** The generation to name in a message to this address; 0 where it is not known. */
     public long generationAt(InetSocketAddress to) {
-        return lives.getOrDefault(to, 0L);
+        return generations.getOrDefault(to, 0L);
     }
 
-    /** Judges a message whose signature is good, and marks its number as seen. */
+    /**
+     * Checks a message whose signature is valid, and marks its sequence number as seen.
+     *
+     * @param at address that the message came from
+     * @param from generation of the sender
+     * @param to generation of the receiver that the message names
+     * @param number sequence number of the message
+     */
     public Verdict check(InetSocketAddress at, long from, long to, long number) {
         if (to != self) {
-            return ReplayGuard.Verdict.UNKNOWN_GENERATION;
+            return Verdict.UNKNOWN_GENERATION;
         }
-        Window window = windows.computeIfAbsent(from, life -> new Window());
+        Window window = windows.computeIfAbsent(from, generation -> new Window());
         long behind = window.highest - number;
         if (number <= 0 || behind >= WINDOW || behind >= 0 && (window.seen >>> behind & 1) == 1) {
             return Verdict.REPLAYED;
@@ -73,7 +91,7 @@
             behind = 0;
         }
         window.seen |= 1L << behind;
-        lives.put(at, from);
+        generations.put(at, from);
         return Verdict.FRESH;
     }
 }
--- a/src/main/java/cypressglade/member/Swim.java
+++ b/src/main/java/cypressglade/member/Swim.java
@@ -17,259 +17,302 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One instance's side of the membership protocol. Its owner calls {@link #tick} when {@link
- * #nextTickAt} has come and {@link #receive} for each message; both may send through {@link
- * Swim.Callbacks}. Not safe for use by several threads.
+ * One instance's side of the SWIM membership protocol, with the extensions of Lifeguard. Its owner
+ * calls {@link #tick} when the time {@link #nextTickAt} has come, and {@link #receive} for each
+ * message; both may send through {@link Callbacks}. Not safe for use by several threads.
  *
- * <p>Each period one member is pinged, in an order shuffled anew each round, so that each is pinged
- * once in a round (SWIM, 4.3). Who does not answer is asked for through others; who answers none of
- * them is suspected, and taken for dead if it does not overrule that in time. Who stands accused is
- * told with every message that goes to it, as it can clear itself only when it knows.
+ * <p>In each protocol period one member is probed, in a random order that is drawn anew for each
+ * round, so that each member is probed once a round (SWIM, 4.3). A member that does not answer is
+ * probed indirectly, through others. If that fails too it becomes suspect, and is declared dead
+ * unless it refutes the suspicion in time. A member that is suspected is told so in each message to
+ * it, because it can only refute what it knows.
  *
- * <p>After Lifeguard, the period and the wait for an answer grow with what this member itself
- * missed ({@link LocalHealth}); helpers that hear nothing in time say so (a nack), so that a prober
- * whose helpers are silent too takes itself for the slow one. A name in use at one address is not
- * taken by another life at another address while the first is present.
+ * <p>Following Lifeguard, the time between two probes and the wait for an ack grow with the local
+ * health score ({@link LocalHealth}). Members that were asked for an indirect probe and receive no
+ * ack in time answer with a nack; a prober that receives no nacks either takes itself to be slow.
+ *
+ * <p>A name in use at one address is not taken over by another generation at another address while
+ * the first member is present.
  */
 public final class Swim {
-    private static final int MOST_RELAYS = 64;
-    private static final int TOLD_ON_LEAVING = 8;
-    private static final int MOST_LOST = 64;
+    private static final int MAX_RELAYED_PINGS = 64;
+
+    /** Random members that are told directly that this one leaves. */
+    private static final int MAX_LEAVE_RECEIVERS = 8;
 
-    private final SwimSettings timing;
+    /** Dead members that are remembered; beyond it those that died first are forgotten. */
+    private static final int MAX_DEAD_MEMBERS = 64;
+
+    /**
+     * Fraction of the ack timeout after which a member that probes on behalf of another sends a
+     * nack (Lifeguard).
+     */
+    private static final double NACK_FRACTION = 0.8;
+
+    private final SwimSettings settings;
     private final RandomGenerator random;
-    private final Swim.Callbacks out;
+    private final Callbacks callbacks;
     private final List<InetSocketAddress> seeds;
-    private final Map<String, Entry> others = new LinkedHashMap<>();
-    private final List<String> round = new ArrayList<>();
-    private final GossipQueue rumours = new GossipQueue();
-    private final Map<Long, Relay> relays = new LinkedHashMap<>();
+    private final Map<String, KnownMember> others = new LinkedHashMap<>();
+    private final List<String> probeOrder = new ArrayList<>();
+    private final GossipQueue gossipQueue = new GossipQueue();
+    private final Map<Long, RelayedPing> relayedPings = new LinkedHashMap<>();
     private final LocalHealth health = new LocalHealth();
     private Member self;
-    private long lastNumber;
+    private long lastSequenceNumber;
     private Probe probe;
     private Instant nextProbe;
     private Instant nextGossip;
-    private Instant nextJudge;
+    private Instant nextTimeoutCheck;
     private Instant nextExchange;
     private Instant nextReconnect;
-    private long conflicts;
-    private long turnedAway;
-    private long namesRefused;
+    private long nameConflicts;
+    private long rejectedMembers;
+    private long refusedNameClaims;
     private long stalls;
 
-    /** Where it all goes. */
+    /**
+     * What the protocol asks of its owner. Called by {@link #tick}, {@link #receive}, {@link
+     * #merge} and {@link #leave}.
+     */
     public interface Callbacks {
+        /** Sends a message; it may be lost. */
         void send(InetSocketAddress to, Message message);
 
         /**
-         * Both sides are to hand each other their whole lists: {@link Swim#members} and {@link
-         * Swim#merge}.
+         * Starts an exchange of whole member lists with another instance: each side sends its
+         * {@link Swim#members} and passes the other's to {@link Swim#merge}.
          */
         void exchangeMemberLists(InetSocketAddress with);
 
-        /** What is known of a member has changed. */
+        /** A member was added, or its state or incarnation changed. */
         void memberChanged(Member member);
 
         /**
-         * Word of {@code claim} was not taken: its name is in use by {@code known}, another
-         * process. Where that name is this member's own, either the claim or {@code known} is this
+         * The update {@code claim} was not accepted: its name is in use by {@code known}, another
+         * process. Where that name is this member's own, {@code claim} or {@code known} is this
          * member.
          */
         default void nameClaimRefused(Member known, Member claim) {
-            // nothing by default; the owner logs it
+            // Ignored by default.
         }
     }
 
-    private static final class Entry {
+    /** Another member, with what this instance needs to judge it. */
+    private static final class KnownMember {
         private Member member;
-        private Instant since;
-        private Instant heard = Instant.MIN;
-        private final Set<String> accusers = new HashSet<>();
+        private Instant stateSince;
+        private Instant lastHeard = Instant.MIN; // last message received from it
+        private final Set<String> suspectedBy = new HashSet<>();
 
-        private Entry(Member member, Instant since) {
+        private KnownMember(Member member, Instant stateSince) {
             this.member = member;
-            this.since = since;
+            this.stateSince = stateSince;
         }
     }
 
     /**
-     * The one ping of this period: sent, sent again after the wait for an answer, and after another
-     * a third time and asked of others. At 5% loss a second ping spares nine of ten indirect ones,
-     * which cost four messages each. The third spares four of five suspicions at 10% loss, which
-     * cost all members: with two, a thousand members made more news than their messages hold, and
-     * refutations missed some of them (false dead).
+     * The probe of the current protocol period. The ping is sent, sent again after an ack timeout,
+     * and after another one sent a third time together with the ping-reqs.
+     *
+     * <p>At 5% loss the second ping avoids nine of ten indirect probes, which cost four messages
+     * each. The third avoids four of five suspicions at 10% loss, which cost all members: with two
+     * pings, a thousand members produced more updates than their messages hold, and refutations did
+     * not reach some of them, which then declared live members dead.
      */
     private record Probe(
-            long number, String target, Instant nextAt, int tries, int helpers, int nacks) {
-        private static final int DIRECT = 2;
-        private static final int DONE = 3;
+            long sequenceNumber,
+            String target,
+            Instant nextStepAt,
+            int pingsSent,
+            int indirectProbers,
+            int nacks) {
+        private static final int DIRECT_PINGS = 2;
+        private static final int MAX_PINGS = 3;
 
-        boolean waits() {
-            return tries < DONE;
+        /** Whether another ping follows if no ack is received. */
+        boolean hasNextStep() {
+            return pingsSent < MAX_PINGS;
         }
 
-        Probe nacked() {
-            return new Probe(number, target, nextAt, tries, helpers, nacks + 1);
+        Probe withNack() {
+            return new Probe(
+                    sequenceNumber, target, nextStepAt, pingsSent, indirectProbers, nacks + 1);
         }
     }
 
     /**
-     * A ping that was sent for another; a nack goes back at {@code nackAt} where no answer came by
-     * then.
+     * A ping that was sent on behalf of another member; that member gets a nack at {@code nackAt}
+     * if no ack was received by then.
      */
-    private record Relay(InetSocketAddress asker, long number, Instant until, Instant nackAt) {}
+    private record RelayedPing(
+            InetSocketAddress requester, long sequenceNumber, Instant expiresAt, Instant nackAt) {}
 
     /**
-     * Of the wait for an answer, the part after which a helper that heard nothing says so
-     * (Lifeguard).
+     * Starts with no other member known; the first tick contacts the seeds.
+     *
+     * @param self this instance, alive
+     * @param seeds addresses where other members may be found; this instance's own is ignored
+     * @param random source of all random choices
+     * @param now time of the start
      */
-    private static final double NACK_PART = 0.8;
-
-    /** Knows itself and where others may be found; the first tick joins them. */
     public Swim(
             Member self,
             List<InetSocketAddress> seeds,
-            SwimSettings timing,
+            SwimSettings settings,
             RandomGenerator random,
-            Swim.Callbacks out,
+            Callbacks callbacks,
             Instant now) {
         this.self = self;
         this.seeds = seeds.stream().filter(seed -> !seed.equals(self.address())).toList();
-        this.timing = timing;
+        this.settings = settings;
         this.random = random;
-        this.out = out;
+        this.callbacks = callbacks;
         nextProbe = now;
         nextGossip = now;
-        nextJudge = now;
+        nextTimeoutCheck = now;
         nextReconnect = now;
-        nextExchange = now.plus(timing.exchangeInterval(1));
+        nextExchange = now.plus(settings.exchangeInterval(1));
     }
 
+    /** This instance, in its current incarnation and state. */
     public Member self() {
         return self;
     }
 
-    /** Everyone who is known, this instance first. */
+    /** All known members in any state, this instance first. */
     public List<Member> members() {
         List<Member> list = new ArrayList<>(List.of(self));
-        others.values().forEach(entry -> list.add(entry.member));
+        others.values().forEach(known -> list.add(known.member));
         return list;
     }
 
-    /** Others that count as running. */
+    /** The other members that are alive or suspect. */
     public List<Member> presentMembers() {
         return others.values().stream()
-                .map(entry -> entry.member)
+                .map(known -> known.member)
                 .filter(Member::isPresent)
                 .toList();
     }
 
-    /** How often another instance spoke under this one's name. */
+    /**
+     * Number of times that an update named a higher incarnation of this instance's name from
+     * another generation: an earlier run of this instance, or another process under its name.
+     */
     public long nameConflicts() {
-        return conflicts;
+        return nameConflicts;
     }
 
-    /** How many members there was no room for. */
+    /**
+     * Number of updates that were dropped because they were about further members while {@link
+     * SwimSettings#maxMembers} were known.
+     */
     public long rejectedMembers() {
-        return turnedAway;
+        return rejectedMembers;
     }
 
-    /** How often word of another process under a name in use was not taken. */
+    /** Number of updates refused because they claimed a name that another process uses. */
     public long refusedNameClaims() {
-        return namesRefused;
+        return refusedNameClaims;
     }
 
-    /** How often this member found that it had stood still for longer than a period. */
+    /** Number of times that this process was found to have stalled for over a protocol period. */
     public long stalls() {
         return stalls;
     }
 
-    /** This member's own health, by which it waits longer. */
+    /** The local health score of this instance, which scales its waits. */
     public LocalHealth health() {
         return health;
     }
 
-    /** When the next tick is wanted. */
+    /** When {@link #tick} is to be called next. A member that left needs no more ticks. */
     public Instant nextTickAt() {
         Instant due = nextProbe.isBefore(nextReconnect) ? nextProbe : nextReconnect;
         due = nextGossip.isBefore(due) ? nextGossip : due;
-        due = nextJudge.isBefore(due) ? nextJudge : due;
+        due = nextTimeoutCheck.isBefore(due) ? nextTimeoutCheck : due;
         due = nextExchange.isBefore(due) ? nextExchange : due;
-        for (Relay relay : relays.values()) {
-            due = relay.nackAt.isBefore(due) ? relay.nackAt : due;
+        for (RelayedPing relayed : relayedPings.values()) {
+            due = relayed.nackAt.isBefore(due) ? relayed.nackAt : due;
         }
-        return probe != null && probe.waits() && probe.nextAt.isBefore(due) ? probe.nextAt : due;
+        return probe != null && probe.hasNextStep() && probe.nextStepAt.isBefore(due)
+                ? probe.nextStepAt
+                : due;
     }
 
-    /** Does what is due. */
+    /** Runs every step that is due: probes, gossip, timeouts, list exchanges and reconnects. */
     public void tick(Instant now) {
         if (self.state() == State.LEFT) {
             return;
         }
         Duration late = Duration.between(nextTickAt(), now);
-        if (late.compareTo(timing.period()) > 0) {
-            stoodStill(late);
+        if (late.compareTo(settings.period()) > 0) {
+            handleStall(late);
         }
-        if (probe != null && probe.waits() && !now.isBefore(probe.nextAt)) {
-            tryAgain(now);
+        if (probe != null && probe.hasNextStep() && !now.isBefore(probe.nextStepAt)) {
+            continueProbe(now);
         }
-        nack(now);
+        sendNacks(now);
         if (!now.isBefore(nextProbe)) {
             endProbe(now);
             startProbe(now);
-            nextProbe = now.plus(health.scale(timing.period()));
-            nextGossip = now.plus(timing.period());
+            nextProbe = now.plus(health.scale(settings.period()));
+            nextGossip = now.plus(settings.period());
         }
-        if (!now.isBefore(
-                nextGossip)) { // a slow member's probes are far apart, its news must not be
-            pick(presentMembers(), 1, Set.of())
+        // A slow member probes less often, but must pass on updates at the usual rate.
+        if (!now.isBefore(nextGossip)) {
+            pickRandom(presentMembers(), 1, Set.of())
                     .forEach(to -> send(to.address(), to.name(), Kind.ACK, 0, "", null));
-            nextGossip = now.plus(timing.period());
+            nextGossip = now.plus(settings.period());
         }
-        if (!now.isBefore(
-                nextJudge)) { // verdicts keep their time: only the probes of a slow member wait
-            judge(now);
-            nextJudge = now.plus(timing.period());
+        // Suspicion timeouts are not scaled by local health: only probes are.
+        if (!now.isBefore(nextTimeoutCheck)) {
+            checkTimeouts(now);
+            nextTimeoutCheck = now.plus(settings.period());
         }
         if (!now.isBefore(nextExchange)) {
-            pick(presentMembers(), 1, Set.of())
-                    .forEach(member -> out.exchangeMemberLists(member.address()));
-            nextExchange = now.plus(timing.exchangeInterval(others.size()));
+            pickRandom(presentMembers(), 1, Set.of())
+                    .forEach(member -> callbacks.exchangeMemberLists(member.address()));
+            nextExchange = now.plus(settings.exchangeInterval(others.size()));
         }
         if (!now.isBefore(nextReconnect)) {
             reconnect();
-            nextReconnect = now.plus(timing.reconnectInterval());
+            nextReconnect = now.plus(settings.reconnectInterval());
         }
     }
 
     /**
-     * Guards against a process that was paused (a long collection, SIGSTOP) taking the silence of
-     * its own pause for that of others: what came meanwhile is not read yet. Its suspicions have as
-     * long to be refuted as if the pause had not been, its open probe is void, and its health says
-     * that it is the slow one.
+     * Handles a pause of this process (a long garbage collection, SIGSTOP), after which messages
+     * that arrived meanwhile are still unread. The silence of others during the pause must not
+     * count against them: suspicions are extended by its length, the open probe is dropped, and the
+     * local health score rises.
      */
-    private void stoodStill(Duration late) {
+    private void handleStall(Duration late) {
         stalls++;
         health.probeFailed();
         probe = null;
         others.values().stream()
-                .filter(entry -> entry.member.state() == State.SUSPECT)
-                .forEach(entry -> entry.since = entry.since.plus(late));
+                .filter(known -> known.member.state() == State.SUSPECT)
+                .forEach(known -> known.stateSince = known.stateSince.plus(late));
     }
 
-    /** Takes a message; where it came from is where its answer goes. */
+    /**
+     * Handles a message.
+     *
+     * @param from address that the message came from; acks and nacks are sent there
+     */
     public void receive(Message message, InetSocketAddress from, Instant now) {
         if (self.state() == State.LEFT) {
             return;
         }
         String sender = message.updates().isEmpty() ? "" : message.updates().get(0).member().name();
-        Entry teller = others.get(sender);
-        boolean across = teller != null && !teller.member.isPresent();
-        if (teller != null) {
-            teller.heard = now;
+        KnownMember sendingMember = others.get(sender);
+        boolean acrossPartition = sendingMember != null && !sendingMember.member.isPresent();
+        if (sendingMember != null) {
+            sendingMember.lastHeard = now;
         }
-        message.updates().forEach(news -> apply(doubted(news, across, now), now));
+        message.updates()
+                .forEach(update -> applyUpdate(downgradeDeath(update, acrossPartition, now), now));
         switch (message.kind()) {
             case PING -> {
                 if (message.target().isEmpty() || message.target().equals(self.name())) {
@@ -277,38 +320,38 @@
                 }
             }
             case PING_REQ -> {
-                if (relays.size() < MOST_RELAYS && message.targetAddress() != null) {
-                    long number = ++lastNumber;
+                if (relayedPings.size() < MAX_RELAYED_PINGS && message.targetAddress() != null) {
+                    long sequenceNumber = ++lastSequenceNumber;
                     Instant nackAt =
-                            now.plusNanos((long) (NACK_PART * timing.ackTimeout().toNanos()));
-                    relays.put(
-                            number,
-                            new Relay(
+                            now.plusNanos((long) (NACK_FRACTION * settings.ackTimeout().toNanos()));
+                    relayedPings.put(
+                            sequenceNumber,
+                            new RelayedPing(
                                     from,
                                     message.sequenceNumber(),
-                                    now.plus(timing.period()),
+                                    now.plus(settings.period()),
                                     nackAt));
                     send(
                             message.targetAddress(),
                             message.target(),
                             Kind.PING,
-                            number,
+                            sequenceNumber,
                             message.target(),
                             null);
                 }
             }
             case ACK -> {
-                Relay relay = relays.remove(message.sequenceNumber());
-                if (relay != null) {
-                    send(relay.asker, "", Kind.ACK, relay.number, "", null);
-                } else if (probe != null && probe.number == message.sequenceNumber()) {
+                RelayedPing relayed = relayedPings.remove(message.sequenceNumber());
+                if (relayed != null) {
+                    send(relayed.requester, "", Kind.ACK, relayed.sequenceNumber, "", null);
+                } else if (probe != null && probe.sequenceNumber == message.sequenceNumber()) {
                     probe = null;
                     health.probeAnswered();
                 }
             }
             case NACK -> {
-                if (probe != null && probe.number == message.sequenceNumber()) {
-                    probe = probe.nacked();
+                if (probe != null && probe.sequenceNumber == message.sequenceNumber()) {
+                    probe = probe.withNack();
                 }
             }
             default -> throw new IllegalStateException();
@@ -316,314 +359,359 @@
     }
 
     /**
-     * Takes in another's whole list. Whom it holds dead and this member holds present is suspected
-     * first, as in memberlist's push-pull: after a split each side's list holds the other side
-     * dead, and who is there can say so before anybody takes it for dead again.
+     * Merges another member's whole list. A member that the list calls dead and that is present
+     * here becomes suspect first, as in the push-pull of HashiCorp's memberlist: after a partition
+     * each side's list calls the other side's members dead, and those get a chance to refute it
+     * before they are declared dead again.
      */
     public void merge(Collection<Member> members, Instant now) {
-        members.forEach(member -> apply(doubted(new MemberUpdate(member, ""), true, now), now));
+        members.forEach(
+                member ->
+                        applyUpdate(downgradeDeath(new MemberUpdate(member, ""), true, now), now));
     }
 
     /**
-     * Word that somebody present is dead is taken as a suspicion where it comes from across a
-     * partition, or where this member has heard from that one since the least time that a suspicion
-     * takes: a verdict that was told within one side of a split still travels when it heals, and
-     * would make whoever hears it flap.
+     * Turns an update that declares a present member dead into a suspicion if it comes from across
+     * a partition, or if this instance received a message from that member within the shortest
+     * suspicion timeout. An update that was sent within one side of a partition is still passed on
+     * when the partition heals, and would make members flap between dead and alive.
      */
-    private MemberUpdate doubted(MemberUpdate news, boolean across, Instant now) {
-        Member told = news.member();
-        Entry entry = told.state() == State.DEAD ? others.get(told.name()) : null;
-        boolean doubt =
-                entry != null
-                        && entry.member.isPresent()
-                        && (across
-                                || entry.heard.isAfter(
+    private MemberUpdate downgradeDeath(MemberUpdate update, boolean acrossPartition, Instant now) {
+        Member reported = update.member();
+        KnownMember known = reported.state() == State.DEAD ? others.get(reported.name()) : null;
+        boolean suspectFirst =
+                known != null
+                        && known.member.isPresent()
+                        && (acrossPartition
+                                || known.lastHeard.isAfter(
                                         now.minus(
-                                                timing.suspicionTimeout(
-                                                        others.size(), SwimSettings.SHARED_BY))));
-        return doubt ? new MemberUpdate(told.withState(State.SUSPECT), news.reportedBy()) : news;
+                                                settings.suspicionTimeout(
+                                                        others.size(),
+                                                        SwimSettings.MAX_CONFIRMATIONS))));
+        return suspectFirst
+                ? new MemberUpdate(reported.withState(State.SUSPECT), update.reportedBy())
+                : update;
     }
 
-    /** Leaves in order, so that nobody has to suspect this instance. */
+    /** Announces that this instance leaves, so that no member has to suspect it. */
     public void leave(Instant now) {
         if (self.state() != State.LEFT) {
-            List<Member> told = pick(presentMembers(), TOLD_ON_LEAVING, Set.of());
+            List<Member> receivers = pickRandom(presentMembers(), MAX_LEAVE_RECEIVERS, Set.of());
             self = self.aliveWithIncarnation(self.incarnation() + 1).withState(State.LEFT);
-            told.forEach(member -> send(member.address(), member.name(), Kind.ACK, 0, "", null));
-            nextProbe = nextGossip = nextJudge = nextReconnect = nextExchange = Instant.MAX;
+            receivers.forEach(
+                    member -> send(member.address(), member.name(), Kind.ACK, 0, "", null));
+            nextProbe = nextGossip = nextTimeoutCheck = nextReconnect = nextExchange = Instant.MAX;
             probe = null;
         }
     }
 
-    // ---- probing
+    // ---- probes and timeouts
 
     private void startProbe(Instant now) {
-        relays.values().removeIf(relay -> relay.until.isBefore(now));
-        if (round.isEmpty()) {
+        relayedPings.values().removeIf(relayed -> relayed.expiresAt.isBefore(now));
+        if (probeOrder.isEmpty()) {
             presentMembers()
-                    .forEach(member -> round.add(random.nextInt(round.size() + 1), member.name()));
-        }
-        while (!round.isEmpty()) {
-            Entry entry = others.get(round.remove(round.size() - 1));
-            if (entry != null && entry.member.isPresent()) {
-                Member target = entry.member;
+                    .forEach(
+                            member ->
+                                    probeOrder.add(
+                                            random.nextInt(probeOrder.size() + 1), member.name()));
+        }
+        while (!probeOrder.isEmpty()) {
+            KnownMember known = others.get(probeOrder.remove(probeOrder.size() - 1));
+            if (known != null && known.member.isPresent()) {
+                Member target = known.member;
                 probe =
                         new Probe(
-                                ++lastNumber,
+                                ++lastSequenceNumber,
                                 target.name(),
-                                now.plus(health.scale(timing.ackTimeout())),
+                                now.plus(health.scale(settings.ackTimeout())),
                                 1,
                                 0,
                                 0);
-                send(target.address(), target.name(), Kind.PING, probe.number, target.name(), null);
+                send(
+                        target.address(),
+                        target.name(),
+                        Kind.PING,
+                        probe.sequenceNumber,
+                        target.name(),
+                        null);
                 return;
             }
         }
     }
 
-    private void tryAgain(Instant now) {
+    private void continueProbe(Instant now) {
         probe =
                 new Probe(
-                        probe.number,
+                        probe.sequenceNumber,
                         probe.target,
-                        now.plus(health.scale(timing.ackTimeout())),
-                        probe.tries + 1,
-                        probe.helpers,
+                        now.plus(health.scale(settings.ackTimeout())),
+                        probe.pingsSent + 1,
+                        probe.indirectProbers,
                         probe.nacks);
-        Entry target = others.get(probe.target);
+        KnownMember target = others.get(probe.target);
         if (target == null) {
             return;
         }
-        send(target.member.address(), probe.target, Kind.PING, probe.number, probe.target, null);
-        if (probe.tries > Probe.DIRECT) {
-            List<Member> helpers =
-                    pick(presentMembers(), timing.indirectProbers(), Set.of(probe.target));
+        send(
+                target.member.address(),
+                probe.target,
+                Kind.PING,
+                probe.sequenceNumber,
+                probe.target,
+                null);
+        if (probe.pingsSent > Probe.DIRECT_PINGS) {
+            List<Member> probers =
+                    pickRandom(presentMembers(), settings.indirectProbers(), Set.of(probe.target));
             probe =
                     new Probe(
-                            probe.number,
+                            probe.sequenceNumber,
                             probe.target,
-                            probe.nextAt,
-                            probe.tries,
-                            helpers.size(),
+                            probe.nextStepAt,
+                            probe.pingsSent,
+                            probers.size(),
                             0);
-            for (Member helper : helpers) {
+            for (Member prober : probers) {
                 send(
-                        helper.address(),
-                        helper.name(),
-                        Message.Kind.PING_REQ,
-                        probe.number,
+                        prober.address(),
+                        prober.name(),
+                        Kind.PING_REQ,
+                        probe.sequenceNumber,
                         probe.target,
                         target.member.address());
             }
         }
     }
 
-    /** Tells those who asked for a ping that nothing came yet: they learn that they are heard. */
-    private void nack(Instant now) {
-        for (Map.Entry<Long, Relay> waiting : relays.entrySet()) {
-            Relay relay = waiting.getValue();
-            if (!now.isBefore(relay.nackAt)) {
-                send(relay.asker, "", Kind.NACK, relay.number, "", null);
-                waiting.setValue(new Relay(relay.asker, relay.number, relay.until, Instant.MAX));
+    /**
+     * Sends the nacks that are due, so that the probing members know that their messages arrive.
+     */
+    private void sendNacks(Instant now) {
+        for (Map.Entry<Long, RelayedPing> entry : relayedPings.entrySet()) {
+            RelayedPing relayed = entry.getValue();
+            if (!now.isBefore(relayed.nackAt)) {
+                send(relayed.requester, "", Kind.NACK, relayed.sequenceNumber, "", null);
+                entry.setValue(
+                        new RelayedPing(
+                                relayed.requester,
+                                relayed.sequenceNumber,
+                                relayed.expiresAt,
+                                Instant.MAX));
             }
         }
     }
 
     private void endProbe(Instant now) {
-        Entry target = probe == null ? null : others.get(probe.target);
+        KnownMember target = probe == null ? null : others.get(probe.target);
         if (probe != null) {
             health.probeFailed();
-            if (probe.nacks
-                    < probe.helpers) { // helpers that would have said so did not: the fault is here
+            // A member that received the ping-req would have sent a nack: the messages of this
+            // instance are late.
+            if (probe.nacks < probe.indirectProbers) {
                 health.nackMissed();
             }
         }
         probe = null;
         if (target != null && target.member.isPresent()) {
-            apply(new MemberUpdate(target.member.withState(State.SUSPECT), self.name()), now);
+            applyUpdate(new MemberUpdate(target.member.withState(State.SUSPECT), self.name()), now);
         }
     }
 
-    /** Takes suspects whose time is up for dead, and forgets who has been gone for long. */
-    private void judge(Instant now) {
-        List<Entry> accused = new ArrayList<>();
-        List<Entry> dead = new ArrayList<>();
+    /**
+     * Declares suspects dead whose timeout has passed, and forgets members that left or died long
+     * ago.
+     */
+    private void checkTimeouts(Instant now) {
+        List<KnownMember> suspects = new ArrayList<>();
+        List<KnownMember> dead = new ArrayList<>();
         others.values()
                 .removeIf(
-                        entry -> {
-                            Member member = entry.member;
+                        known -> {
+                            Member member = known.member;
                             if (member.state() == State.SUSPECT) {
-                                accused.add(entry);
+                                suspects.add(known);
                             } else if (member.state() == State.DEAD) {
-                                dead.add(entry);
+                                dead.add(known);
                             }
                             return member.state() == State.LEFT
-                                            && entry.since
-                                                    .plus(timing.leftRetention())
+                                            && known.stateSince
+                                                    .plus(settings.leftRetention())
                                                     .isBefore(now)
                                     || member.state() == State.DEAD
-                                            && entry.since
-                                                    .plus(timing.deadRetention())
+                                            && known.stateSince
+                                                    .plus(settings.deadRetention())
                                                     .isBefore(now);
                         });
-        for (Entry entry : accused) {
-            if (!entry.since
-                    .plus(timing.suspicionTimeout(others.size(), entry.accusers.size() - 1))
+        for (KnownMember known : suspects) {
+            if (!known.stateSince
+                    .plus(settings.suspicionTimeout(others.size(), known.suspectedBy.size() - 1))
                     .isAfter(now)) {
-                apply(new MemberUpdate(entry.member.withState(State.DEAD), self.name()), now);
+                applyUpdate(new MemberUpdate(known.member.withState(State.DEAD), self.name()), now);
             }
         }
-        if (dead.size() > MOST_LOST) {
-            dead.sort(Comparator.comparing((Entry entry) -> entry.since).reversed());
-            dead.subList(MOST_LOST, dead.size())
-                    .forEach(entry -> others.remove(entry.member.name()));
+        if (dead.size() > MAX_DEAD_MEMBERS) {
+            dead.sort(Comparator.comparing((KnownMember known) -> known.stateSince).reversed());
+            dead.subList(MAX_DEAD_MEMBERS, dead.size())
+                    .forEach(known -> others.remove(known.member.name()));
         }
     }
 
     /**
-     * Knocks at one that was lost or at a seed that is nobody's: a partition loses each side the
-     * other.
+     * Pings a dead member or a seed at which no present member is known: after a partition each
+     * side holds the other's members dead and no longer probes them.
      */
     private void reconnect() {
-        Set<InetSocketAddress> known = new HashSet<>();
-        presentMembers().forEach(member -> known.add(member.address()));
-        List<InetSocketAddress> lost = new ArrayList<>(seeds);
+        Set<InetSocketAddress> reachable = new HashSet<>();
+        presentMembers().forEach(member -> reachable.add(member.address()));
+        List<InetSocketAddress> unreachable = new ArrayList<>(seeds);
         others.values().stream()
-                .filter(entry -> entry.member.state() == State.DEAD)
-                .forEach(entry -> lost.add(entry.member.address()));
-        lost.removeAll(known);
-        if (known.isEmpty()) { // alone: all seeds at once, as the start waits for it
-            lost.forEach(this::knock);
-        } else if (!lost.isEmpty()) {
-            knock(lost.get(random.nextInt(lost.size())));
+                .filter(known -> known.member.state() == State.DEAD)
+                .forEach(known -> unreachable.add(known.member.address()));
+        unreachable.removeAll(reachable);
+        // With no other member present, all seeds are tried at once: the start waits for one.
+        if (reachable.isEmpty()) {
+            unreachable.forEach(this::pingAddress);
+        } else if (!unreachable.isEmpty()) {
+            pingAddress(unreachable.get(random.nextInt(unreachable.size())));
         }
     }
 
-    private void knock(InetSocketAddress at) {
-        Optional<Member> there =
+    private void pingAddress(InetSocketAddress at) {
+        Optional<Member> knownThere =
                 others.values().stream()
-                        .map(entry -> entry.member)
+                        .map(known -> known.member)
                         .filter(member -> member.address().equals(at))
                         .findFirst();
-        send(at, there.map(Member::name).orElse(""), Kind.PING, ++lastNumber, "", null);
-    }
-
-    private List<Member> pick(List<Member> from, int most, Set<String> but) {
-        List<Member> left = new ArrayList<>(from);
-        left.removeIf(member -> but.contains(member.name()));
+        send(
+                at,
+                knownThere.map(Member::name).orElse(""),
+                Kind.PING,
+                ++lastSequenceNumber,
+                "",
+                null);
+    }
+
+    private List<Member> pickRandom(List<Member> from, int max, Set<String> excludedNames) {
+        List<Member> candidates = new ArrayList<>(from);
+        candidates.removeIf(member -> excludedNames.contains(member.name()));
         List<Member> picked = new ArrayList<>();
-        while (picked.size() < most && !left.isEmpty()) {
-            picked.add(left.remove(random.nextInt(left.size())));
+        while (picked.size() < max && !candidates.isEmpty()) {
+            picked.add(candidates.remove(random.nextInt(candidates.size())));
         }
         return picked;
     }
 
     private void send(
             InetSocketAddress to,
-            String name,
+            String receiverName,
             Kind kind,
-            long number,
+            long sequenceNumber,
             String target,
-            InetSocketAddress targetAt) {
-        List<MemberUpdate> news = new ArrayList<>(List.of(new MemberUpdate(self, self.name())));
-        Entry receiver = others.get(name);
+            InetSocketAddress targetAddress) {
+        List<MemberUpdate> updates = new ArrayList<>(List.of(new MemberUpdate(self, self.name())));
+        KnownMember receiver = others.get(receiverName);
+        // A receiver that is not alive here is told so: it can refute only what it knows.
         if (receiver != null && receiver.member.state() != State.ALIVE) {
-            news.add(
-                    new MemberUpdate(
-                            receiver.member,
-                            self.name())); // it can only clear itself of what it knows
+            updates.add(new MemberUpdate(receiver.member, self.name()));
         }
-        news.addAll(
-                rumours.next(SwimSettings.MOST_NEWS, timing.maxTransmissions(others.size() + 1)));
-        out.send(to, new Message(kind, number, target, targetAt, news));
+        updates.addAll(
+                gossipQueue.next(
+                        SwimSettings.MAX_UPDATES_PER_MESSAGE,
+                        settings.maxTransmissions(others.size() + 1)));
+        callbacks.send(to, new Message(kind, sequenceNumber, target, targetAddress, updates));
     }
 
-    // ---- what is told
+    // ---- updates
 
-    private void apply(MemberUpdate news, Instant now) {
-        Member told = news.member();
-        if (told.name().equals(self.name())) {
-            applyToSelf(told);
+    private void applyUpdate(MemberUpdate update, Instant now) {
+        Member reported = update.member();
+        if (reported.name().equals(self.name())) {
+            applyToSelf(reported);
             return;
         }
-        Entry entry = others.get(told.name());
-        if (entry != null
-                && told.isPresent()
-                && told.generation() != entry.member.generation()
-                && entry.member.isPresent()
-                && !told.address().equals(entry.member.address())) {
-            // another process under a name in use; a restart comes at the same address
-            namesRefused++;
-            out.nameClaimRefused(entry.member, told);
+        KnownMember known = others.get(reported.name());
+        if (known != null
+                && reported.isPresent()
+                && reported.generation() != known.member.generation()
+                && known.member.isPresent()
+                && !reported.address().equals(known.member.address())) {
+            // Another process under a name in use: a restart keeps its address.
+            refusedNameClaims++;
+            callbacks.nameClaimRefused(known.member, reported);
             return;
         }
-        if (entry == null) {
-            if (!told.isPresent()) {
-                return; // who is gone need not be known
-            } else if (others.size() >= timing.maxMembers()) {
-                turnedAway++;
+        if (known == null) {
+            if (!reported.isPresent()) {
+                return; // A member that is gone need not be known.
+            } else if (others.size() >= settings.maxMembers()) {
+                rejectedMembers++;
                 return;
             }
-            Entry fresh = new Entry(told, now);
-            others.put(told.name(), fresh);
-            round.add(random.nextInt(round.size() + 1), told.name());
-            accuse(fresh, news);
-            spread(news);
-        } else if (told.overrides(entry.member)) {
-            boolean back = !entry.member.isPresent() && told.isPresent();
-            entry.member = told;
-            entry.since = now;
-            entry.accusers.clear();
-            accuse(entry, news);
-            spread(news);
-            if (back) {
-                round.add(random.nextInt(round.size() + 1), told.name());
-                out.exchangeMemberLists(
-                        told.address()); // a partition may have healed, with many behind it
+            KnownMember added = new KnownMember(reported, now);
+            others.put(reported.name(), added);
+            probeOrder.add(random.nextInt(probeOrder.size() + 1), reported.name());
+            addSuspicion(added, update);
+            spreadUpdate(update);
+        } else if (reported.overrides(known.member)) {
+            boolean isBack = !known.member.isPresent() && reported.isPresent();
+            known.member = reported;
+            known.stateSince = now;
+            known.suspectedBy.clear();
+            addSuspicion(known, update);
+            spreadUpdate(update);
+            if (isBack) {
+                probeOrder.add(random.nextInt(probeOrder.size() + 1), reported.name());
+                // A partition may have healed, with more members on the other side.
+                callbacks.exchangeMemberLists(reported.address());
             }
-        } else if (told.state() == State.SUSPECT
-                && told.incarnation() == entry.member.incarnation()
-                && entry.member.state() == State.SUSPECT
-                && entry.accusers.size() <= SwimSettings.SHARED_BY
-                && accuse(entry, news)) {
-            rumours.add(news); // one more accuser: the others are to count it too
+        } else if (reported.state() == State.SUSPECT
+                && reported.incarnation() == known.member.incarnation()
+                && known.member.state() == State.SUSPECT
+                && known.suspectedBy.size() <= SwimSettings.MAX_CONFIRMATIONS
+                && addSuspicion(known, update)) {
+            gossipQueue.add(update); // One more confirmation, which the others have to count too.
         }
     }
 
-    /** Whether there is one more who found the member silent. */
-    private static boolean accuse(Entry entry, MemberUpdate news) {
-        return entry.member.state() == State.SUSPECT
-                && !news.reportedBy().isEmpty()
-                && entry.accusers.add(news.reportedBy());
+    /**
+     * Records who suspects a member; returns whether that is one more member that found it
+     * unresponsive itself.
+     */
+    private static boolean addSuspicion(KnownMember known, MemberUpdate update) {
+        return known.member.state() == State.SUSPECT
+                && !update.reportedBy().isEmpty()
+                && known.suspectedBy.add(update.reportedBy());
     }
 
-    private void spread(MemberUpdate news) {
-        rumours.add(news);
-        out.memberChanged(news.member());
+    private void spreadUpdate(MemberUpdate update) {
+        gossipQueue.add(update);
+        callbacks.memberChanged(update.member());
     }
 
     /**
-     * Overrules whatever is told of this instance and is not so, be it of its life before a
-     * restart.
+     * Refutes what is reported of this instance and is not true, even if it is about an earlier run
+     * of it, by taking a higher incarnation.
      */
-    private void applyToSelf(Member told) {
-        boolean other = told.generation() != self.generation();
-        if (other && told.isPresent() && !told.address().equals(self.address())) {
-            namesRefused++;
-            out.nameClaimRefused(self, told);
-            return; // or two processes under one name would overrule each other without end
-        }
-        if (other && told.state() == State.ALIVE && told.incarnation() > self.incarnation()) {
-            conflicts++; // its former life, or another instance under the same name
-        }
-        if (told.incarnation() >= self.incarnation()
-                && (other || told.state() != State.ALIVE)
+    private void applyToSelf(Member reported) {
+        boolean otherGeneration = reported.generation() != self.generation();
+        if (otherGeneration && reported.isPresent() && !reported.address().equals(self.address())) {
+            refusedNameClaims++;
+            callbacks.nameClaimRefused(self, reported);
+            return; // Otherwise two processes under one name would refute each other endlessly.
+        }
+        if (otherGeneration
+                && reported.state() == State.ALIVE
+                && reported.incarnation() > self.incarnation()) {
+            nameConflicts++; // An earlier run, or another instance under the same name.
+        }
+        if (reported.incarnation() >= self.incarnation()
+                && (otherGeneration || reported.state() != State.ALIVE)
                 && self.state() != State.LEFT) {
-            if (!other) {
-                health.refuted(); // accused while alive: this member may be the slow one
+            if (!otherGeneration) {
+                health.refuted(); // Suspected while alive: this instance may be slow.
             }
-            self = self.aliveWithIncarnation(told.incarnation() + 1);
-            rumours.add(new MemberUpdate(self, self.name()));
+            self = self.aliveWithIncarnation(reported.incarnation() + 1);
+            gossipQueue.add(new MemberUpdate(self, self.name()));
         }
     }
 }
--- a/src/test/java/cypressglade/learn/LearnerTest.java
+++ b/src/test/java/cypressglade/learn/LearnerTest.java
@@ -18,21 +18,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is believed of what others say. */
+/** Tests which hints follow from the observations of other instances. */
 class LearnerTest {
     private static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
     private static final Origin SELF = new Origin("b", 2);
     private static final Origin OTHER = new Origin("a", 1);
-    private static final double PACE = 5_000;
+    private static final double SERVICE_TIME_MICROS = 5_000;
 
     private final Learner learner = new Learner(SELF, 100);
 
-    private static NodeObservation word(
-            Origin origin, boolean silent, long startedUs, Duration age) {
+    private static NodeObservation observation(
+            Origin origin, boolean silent, long startedMicros, Duration age) {
         return new NodeObservation(
                 "s-1",
-                startedUs,
-                PACE,
+                startedMicros,
+                SERVICE_TIME_MICROS,
                 1000,
                 0.3,
                 0.1,
@@ -46,7 +46,7 @@
             boolean guarded,
             boolean silent,
             long startedUs,
-            double pace,
+            double serviceTimeMicros,
             int answers,
             Duration seenAgo) {
         long ago = seenAgo == null ? -1 : seenAgo.toNanos() / 1000;
@@ -65,7 +65,7 @@
                         guarded,
                         silent,
                         startedUs,
-                        pace,
+                        serviceTimeMicros,
                         0,
                         0.3,
                         0,
@@ -86,7 +86,10 @@
         return learner.hints(List.of(fact), NOW);
     }
 
-    /** Ages in seconds of a word that it answers and one that it is silent; -1 for none. */
+    /**
+     * Ages in seconds of an observation that the node answers, and of one that it is silent; -1 for
+     * none.
+     */
     @ParameterizedTest
     @CsvSource({
         "0, -1, false",
@@ -100,16 +103,19 @@
         "5.1, 61, false",
         "30, 20, true"
     })
-    void healthAgesFastAndSilenceSlowly(double answered, double silent, boolean believedSilent) {
+    void healthObservationsExpireSoonerThanSilence(
+            double answered, double silent, boolean hintedSilent) {
         if (answered >= 0) {
             learner.receive(
-                    List.of(word(OTHER, false, 0, Duration.ofMillis((long) (answered * 1000)))),
+                    List.of(
+                            observation(
+                                    OTHER, false, 0, Duration.ofMillis((long) (answered * 1000)))),
                     NOW);
         }
         if (silent >= 0) {
             learner.receive(
                     List.of(
-                            word(
+                            observation(
                                     new Origin("c", 3),
                                     true,
                                     0,
@@ -119,32 +125,34 @@
         assertThat(hints(unseen()))
                 .singleElement()
                 .extracting(NodeHint::silent)
-                .isEqualTo(believedSilent);
+                .isEqualTo(hintedSilent);
     }
 
     @ParameterizedTest
     @CsvSource({"0, 5000, 1", "20, 5000, 100000", "119, 5000, 100000"})
-    void paceIsDrawnToTheAverageAsTheWordAges(int seconds, double told, double otherPace) {
+    void serviceTimeMovesToTheAverageWithAge(
+            int seconds, double observedMicros, double otherMicros) {
         NodeObservation other =
-                new NodeObservation("s-2", 0, otherPace, 0, 0, 0, 50, Duration.ZERO, NOW, OTHER);
-        learner.receive(List.of(word(OTHER, false, 0, Duration.ofSeconds(seconds)), other), NOW);
-        double average = (told + otherPace) / 2;
+                new NodeObservation("s-2", 0, otherMicros, 0, 0, 0, 50, Duration.ZERO, NOW, OTHER);
+        learner.receive(
+                List.of(observation(OTHER, false, 0, Duration.ofSeconds(seconds)), other), NOW);
+        double average = (observedMicros + otherMicros) / 2;
         assertThat(hints(unseen()).get(0).serviceTimePerUnitMicros())
                 .isCloseTo(
-                        average + Math.pow(2, -seconds / 20.0) * (told - average),
+                        average + Math.pow(2, -seconds / 20.0) * (observedMicros - average),
                         org.assertj.core.data.Offset.offset(1.0));
     }
 
     @Test
-    void wordOlderThanItsLifeTeachesNothing() {
-        learner.receive(List.of(word(OTHER, false, 0, Duration.ofSeconds(121))), NOW);
+    void expiredObservationsYieldNoHint() {
+        learner.receive(List.of(observation(OTHER, false, 0, Duration.ofSeconds(121))), NOW);
         assertThat(hints(unseen())).isEmpty();
         assertThat(learner.count(Count.WORDS_AGED_OUT)).isEqualTo(1);
     }
 
     /**
-     * Starts by the own list and by the word; which one is taught, and whether the pace is
-     * believed.
+     * Starts of the node according to the own node list and the observation; the start that is
+     * hinted, and whether there is a hint.
      */
     @ParameterizedTest
     @CsvSource({
@@ -154,44 +162,50 @@
         "7, 7, 0, true",
         "7, 9, 9, true"
     })
-    void ofTwoWordsOnWarmthTheColderHoldsAndAnEarlierRunTeachesNothing(
-            long listed, long told, long taught, boolean believed) {
-        learner.receive(List.of(word(OTHER, false, told, Duration.ZERO)), NOW);
+    void laterStartTakesPrecedenceAndEarlierRunsYieldNoHint(
+            long listed, long observed, long hinted, boolean isUsed) {
+        learner.receive(List.of(observation(OTHER, false, observed, Duration.ZERO)), NOW);
         List<NodeHint> hints = hints(fact(false, false, listed, 13_000, 0, null));
-        assertThat(hints).hasSize(believed ? 1 : 0);
-        hints.forEach(hint -> assertThat(hint.startedMicros()).isEqualTo(taught));
+        assertThat(hints).hasSize(isUsed ? 1 : 0);
+        hints.forEach(hint -> assertThat(hint.startedMicros()).isEqualTo(hinted));
     }
 
-    /** Guards against hearsay that overrules what the instance saw itself, and against repeats. */
+    /**
+     * Guards against observations of others that override what the instance observed itself, and
+     * against repeated hints.
+     */
     @ParameterizedTest
     @CsvSource({"100, false, 0", "1900, false, 0", "2100, false, 1", "0, true, 0"})
-    void ownSightBeatsHearsay(int seenAgoMs, boolean silent, int hints) {
-        learner.receive(List.of(word(OTHER, !silent, 0, Duration.ZERO)), NOW);
-        NodeFact fact = fact(false, silent, 0, PACE, 20, Duration.ofMillis(seenAgoMs));
+    void ownObservationsTakePrecedenceOverPeers(int seenAgoMs, boolean silent, int hints) {
+        learner.receive(List.of(observation(OTHER, !silent, 0, Duration.ZERO)), NOW);
+        NodeFact fact =
+                fact(false, silent, 0, SERVICE_TIME_MICROS, 20, Duration.ofMillis(seenAgoMs));
         assertThat(hints(fact)).hasSize(hints);
         assertThat(hints(fact)).isEmpty();
     }
 
     /**
-     * Guards against evidence of one that comes back as evidence of another, and against younger
-     * copies.
+     * Guards against an instance's own observation coming back as evidence of another, and against
+     * copies that look younger.
      */
     @Test
-    void echoesCountForNothingAndWordsNeverGrowYoungerThroughHands() {
+    void echoesAreIgnoredAndAgesNeverShrinkWhenPassedOn() {
         Learner first = new Learner(OTHER, 100);
-        first.observe(List.of(fact(false, false, 0, PACE, 30, Duration.ofMillis(100))), NOW);
-        List<NodeObservation> told = first.observations(NOW, 10);
-        assertThat(told)
+        first.observe(
+                List.of(fact(false, false, 0, SERVICE_TIME_MICROS, 30, Duration.ofMillis(100))),
+                NOW);
+        List<NodeObservation> sent = first.observations(NOW, 10);
+        assertThat(sent)
                 .singleElement()
-                .extracting(word -> word.age(NOW))
+                .extracting(observation -> observation.age(NOW))
                 .isEqualTo(Duration.ofMillis(100));
-        for (int i = 1; i <= 50; i++) { // to and fro, 20 ms a way, while the first sees nothing new
+        for (int i = 1; i <= 50; i++) { // 20 ms each way, without a new observation at the first
             Instant now = NOW.plusMillis(40L * i);
-            assertThat(learner.receive(told, now.minusMillis(20))).isEqualTo(i == 1 ? 1 : 0);
+            assertThat(learner.receive(sent, now.minusMillis(20))).isEqualTo(i == 1 ? 1 : 0);
             assertThat(first.receive(learner.observations(now, 10), now)).isZero();
-            told = first.observations(now, 10);
-            assertThat(told)
-                    .extracting(word -> word.age(now))
+            sent = first.observations(now, 10);
+            assertThat(sent)
+                    .extracting(observation -> observation.age(now))
                     .containsExactly(Duration.ofMillis(100 + 40L * i));
         }
         assertThat(first.count(Count.WORDS_ECHOED)).isEqualTo(50);
@@ -204,11 +218,12 @@
     }
 
     /**
-     * Guards against a node that was drained, or left the list, while word of it was on its way.
+     * Guards against a hint for a node that was drained, or left the list, while an observation of
+     * it was on its way.
      */
     @Test
-    void nodesThatMayNotBeUsedAreNotTaughtOf() {
-        learner.receive(List.of(word(OTHER, true, 0, Duration.ZERO)), NOW);
+    void unusableNodesGetNoHint() {
+        learner.receive(List.of(observation(OTHER, true, 0, Duration.ZERO)), NOW);
         NodeView view = unseen().view();
         NodeView drained =
                 new NodeView(
@@ -235,11 +250,13 @@
     }
 
     @Test
-    void whatTheModuleHasByHearsayIsNeverToldOn() {
-        learner.observe(List.of(fact(true, true, 0, PACE, 0, null)), NOW);
+    void guardedViewsAreNotPassedOn() {
+        learner.observe(List.of(fact(true, true, 0, SERVICE_TIME_MICROS, 0, null)), NOW);
         assertThat(learner.observations(NOW, 10)).isEmpty();
-        learner.observe(List.of(fact(false, true, 0, PACE, 0, null)), NOW.plusSeconds(1));
-        learner.observe(List.of(fact(false, true, 0, PACE, 0, null)), NOW.plusSeconds(4));
+        learner.observe(
+                List.of(fact(false, true, 0, SERVICE_TIME_MICROS, 0, null)), NOW.plusSeconds(1));
+        learner.observe(
+                List.of(fact(false, true, 0, SERVICE_TIME_MICROS, 0, null)), NOW.plusSeconds(4));
         assertThat(learner.observations(NOW.plusSeconds(4), 10))
                 .singleElement()
                 .matches(NodeObservation::isSilent)
@@ -247,49 +264,73 @@
                 .isEqualTo(Duration.ofMillis(3001));
     }
 
-    /** Guards against silence that is forgotten when the last attempt there has timed out. */
+    /** Guards against forgetting silence when the last attempt at the node has timed out. */
     @Test
-    void silenceStandsUntilASignOfLifeAndAges() {
-        learner.observe(List.of(fact(false, true, 0, PACE, 0, Duration.ofSeconds(3))), NOW);
+    void silenceLastsUntilASignOfLifeAndAges() {
         learner.observe(
-                List.of(fact(false, false, 0, PACE, 0, Duration.ofSeconds(5))), NOW.plusSeconds(2));
+                List.of(fact(false, true, 0, SERVICE_TIME_MICROS, 0, Duration.ofSeconds(3))), NOW);
+        learner.observe(
+                List.of(fact(false, false, 0, SERVICE_TIME_MICROS, 0, Duration.ofSeconds(5))),
+                NOW.plusSeconds(2));
         assertThat(learner.observations(NOW.plusSeconds(2), 10))
                 .singleElement()
                 .matches(NodeObservation::isSilent)
                 .extracting(NodeObservation::observedAt)
                 .isEqualTo(NOW);
         learner.observe(
-                List.of(fact(false, true, 0, PACE, 0, Duration.ofSeconds(6))), NOW.plusSeconds(3));
+                List.of(fact(false, true, 0, SERVICE_TIME_MICROS, 0, Duration.ofSeconds(6))),
+                NOW.plusSeconds(3));
         assertThat(learner.observations(NOW.plusSeconds(3), 10))
                 .singleElement()
                 .extracting(NodeObservation::silentFor)
                 .isEqualTo(Duration.ofMillis(3001));
         NodeView probed =
                 new NodeView(
-                        1, 0, true, false, false, 0, PACE, 0, 0, 0, 0, -1, 10_000, 0, 32, 0, 0);
+                        1,
+                        0,
+                        true,
+                        false,
+                        false,
+                        0,
+                        SERVICE_TIME_MICROS,
+                        0,
+                        0,
+                        0,
+                        0,
+                        -1,
+                        10_000,
+                        0,
+                        32,
+                        0,
+                        0);
         learner.observe(List.of(new NodeFact(unseen().known(), probed)), NOW.plusSeconds(4));
         assertThat(learner.observations(NOW.plusSeconds(4), 10)).isEmpty();
     }
 
-    /** Guards against views that are already drawn to the average, told as what was learned. */
+    /**
+     * Guards against reporting a view that is already moved towards the average as if it had been
+     * observed.
+     */
     @Test
-    void ownWordKeepsWhatItsLastAnswersTold() {
-        learner.observe(List.of(fact(false, false, 0, PACE, 30, Duration.ofMillis(100))), NOW);
+    void ownObservationKeepsValuesOfLastAnswers() {
+        learner.observe(
+                List.of(fact(false, false, 0, SERVICE_TIME_MICROS, 30, Duration.ofMillis(100))),
+                NOW);
         learner.observe(
                 List.of(fact(false, false, 0, 13_000, 30, Duration.ofSeconds(9))),
                 NOW.plusSeconds(9));
         assertThat(learner.observations(NOW.plusSeconds(9), 10))
                 .singleElement()
                 .matches(
-                        word ->
-                                word.serviceTimePerUnitMicros() == PACE
-                                        && word.age(NOW.plusSeconds(9)).toMillis() == 9100);
+                        observation ->
+                                observation.serviceTimePerUnitMicros() == SERVICE_TIME_MICROS
+                                        && observation.age(NOW.plusSeconds(9)).toMillis() == 9100);
         learner.observe(
                 List.of(fact(false, false, 5, 13_000, 0, Duration.ofMillis(1))),
                 NOW.plusSeconds(10));
         assertThat(learner.observations(NOW.plusSeconds(10), 10))
                 .singleElement()
-                .matches(word -> word.startedMicros() == 5);
+                .matches(observation -> observation.startedMicros() == 5);
         learner.observe(List.of(), NOW.plusSeconds(11));
         assertThat(learner.observations(NOW.plusSeconds(11), 10)).isEmpty();
     }
@@ -302,16 +343,21 @@
         "true, true, 5000, 1, 0",
         "false, true, 5000, 0, 1"
     })
-    void hintsAreJudgedByOwnSightAndLiarsBelievedLess(
-            boolean toldSilent, boolean silent, double pace, int confirmed, int contradicted) {
-        learner.receive(List.of(word(OTHER, toldSilent, 0, Duration.ZERO)), NOW);
+    void hintsAreJudgedByOwnAnswersAndContradictedOriginsLoseTrust(
+            boolean reportedSilent,
+            boolean silent,
+            double ownMicros,
+            int confirmed,
+            int contradicted) {
+        learner.receive(List.of(observation(OTHER, reportedSilent, 0, Duration.ZERO)), NOW);
         assertThat(hints(unseen())).hasSize(1);
-        learner.observe(List.of(fact(true, toldSilent, 0, PACE, 0, null)), NOW);
+        learner.observe(List.of(fact(true, reportedSilent, 0, SERVICE_TIME_MICROS, 0, null)), NOW);
         assertThat(learner.count(Count.HINTS_CONFIRMED) + learner.count(Count.HINTS_CONTRADICTED))
                 .isZero();
         for (int i = 0; i < 2; i++) {
             learner.observe(
-                    List.of(fact(false, silent, 0, pace, 9, silent ? null : Duration.ZERO)), NOW);
+                    List.of(fact(false, silent, 0, ownMicros, 9, silent ? null : Duration.ZERO)),
+                    NOW);
         }
         assertThat(learner.count(Count.HINTS_CONFIRMED)).isEqualTo(confirmed);
         assertThat(learner.count(Count.HINTS_CONTRADICTED)).isEqualTo(contradicted);
@@ -328,12 +374,13 @@
                         NOW.plusSeconds(2),
                         new Origin("d", 4));
         learner.receive(
-                List.of(later, word(OTHER, false, 0, Duration.ofSeconds(-2))), NOW.plusSeconds(2));
-        double mean = (99_000 + PACE) / 2;
-        NodeHint taught =
+                List.of(later, observation(OTHER, false, 0, Duration.ofSeconds(-2))),
+                NOW.plusSeconds(2));
+        double mean = (99_000 + SERVICE_TIME_MICROS) / 2;
+        NodeHint hint =
                 learner.hints(List.of(fact(false, false, 0, 1, 0, null)), NOW.plusSeconds(2))
                         .get(0);
-        assertThat(taught.serviceTimePerUnitMicros())
+        assertThat(hint.serviceTimePerUnitMicros())
                 .matches(value -> contradicted == 1 == value > mean + 2000);
     }
 
@@ -352,70 +399,80 @@
         "1, 0, 0, NaN, 0",
         "1, 0, 0, 0, -1"
     })
-    void figuresThatMakeNoSenseAreRefusedAndNothingElse(
-            double pace, double backlog, double strain, double errors, int answers) {
-        NodeObservation bad =
+    void onlyImplausibleObservationsAreRefused(
+            double serviceTimeMicros,
+            double backlogMicros,
+            double latencyRatio,
+            double errorRatio,
+            int answers) {
+        NodeObservation implausible =
                 new NodeObservation(
                         "s-1",
                         0,
-                        pace,
-                        backlog,
-                        strain,
-                        errors,
+                        serviceTimeMicros,
+                        backlogMicros,
+                        latencyRatio,
+                        errorRatio,
                         answers,
                         Duration.ZERO,
                         NOW,
                         OTHER);
-        assertThat(learner.receive(List.of(bad, word(OTHER, false, 0, Duration.ZERO)), NOW))
+        assertThat(
+                        learner.receive(
+                                List.of(implausible, observation(OTHER, false, 0, Duration.ZERO)),
+                                NOW))
                 .isEqualTo(1);
         assertThat(learner.count(Count.WORDS_REFUSED)).isEqualTo(1);
-        assertThat(hints(unseen()).get(0).serviceTimePerUnitMicros()).isEqualTo(PACE);
+        assertThat(hints(unseen()).get(0).serviceTimePerUnitMicros())
+                .isEqualTo(SERVICE_TIME_MICROS);
     }
 
     /**
-     * Guards against memory that a flood of words fills, and against figures that a mix of words
-     * breaks.
+     * Guards against a flood of observations that fills the memory, and against hints outside the
+     * range of the observations that they rest on.
      */
     @Test
-    void floodStaysWithinTheRoomAndBeliefsWithinTheWords() {
+    void floodIsBoundedAndHintsStayWithinObservedRanges() {
         SplittableRandom random = new SplittableRandom(7);
         List<NodeObservation> flood = new ArrayList<>();
         for (int i = 0; i < 4_000; i++) {
-            flood.add(anyWord(random));
+            flood.add(randomObservation(random));
         }
         learner.receive(flood, NOW);
         assertThat(learner.peerObservationCount())
-                .isLessThanOrEqualTo(100 * PeerObservations.ORIGINS);
+                .isLessThanOrEqualTo(100 * PeerObservations.MAX_ORIGINS_PER_NODE);
         assertThat(learner.count(Count.WORDS_NO_ROOM)).isPositive();
         flood.stream()
                 .map(NodeObservation::nodeId)
                 .distinct()
                 .map(
                         node -> {
-                            List<NodeObservation> words =
+                            List<NodeObservation> ofNode =
                                     flood.stream()
-                                            .filter(word -> word.nodeId().equals(node))
+                                            .filter(
+                                                    observation ->
+                                                            observation.nodeId().equals(node))
                                             .toList();
-                            return new HintEstimator(words, NOW, 13_000, origin -> 0.5)
+                            return new HintEstimator(ofNode, NOW, 13_000, origin -> 0.5)
                                     .hint(node, 0);
                         })
                 .flatMap(Optional::stream)
                 .forEach(
-                        taught ->
-                                assertThat(taught)
+                        hint ->
+                                assertThat(hint)
                                         .matches(
-                                                hint ->
-                                                        hint.serviceTimePerUnitMicros() >= 1
-                                                                && hint.serviceTimePerUnitMicros()
+                                                value ->
+                                                        value.serviceTimePerUnitMicros() >= 1
+                                                                && value.serviceTimePerUnitMicros()
                                                                         <= 1e6 + 1
-                                                                && hint.backlogMicros() <= 1e6
-                                                                && hint.latencyRatio() <= 100
-                                                                && hint.errorRatio() <= 1));
-        learner.observe(List.of(), NOW.plus(ObservationWeights.LIFE).plusSeconds(1));
+                                                                && value.backlogMicros() <= 1e6
+                                                                && value.latencyRatio() <= 100
+                                                                && value.errorRatio() <= 1));
+        learner.observe(List.of(), NOW.plus(ObservationWeights.MAX_AGE).plusSeconds(1));
         assertThat(learner.peerObservationCount()).isZero();
     }
 
-    private static NodeObservation anyWord(SplittableRandom random) {
+    private static NodeObservation randomObservation(SplittableRandom random) {
         return new NodeObservation(
                 "s-" + random.nextInt(1000),
                 0,
--- a/src/test/java/cypressglade/member/SwimTest.java
+++ b/src/test/java/cypressglade/member/SwimTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Membership in virtual time. */
+/** Tests the membership protocol in virtual time, on a simulated network. */
 class SwimTest {
     private static final Duration MINUTE = Duration.ofMinutes(1);
     private final MemberNet net = new MemberNet(11, SwimSettings.defaults());
@@ -26,7 +26,7 @@
         net.pass(MINUTE);
     }
 
-    /** Whether all that run see the same number of others. */
+    /** Asserts that each running instance has this number of other members present. */
     private void assertAllSee(int others) {
         net.running
                 .values()
@@ -46,13 +46,13 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 40})
-    void allWhoStartFindEachOther(int count) {
+    void startedInstancesDiscoverEachOther(int count) {
         start(count);
         assertAllSee(count - 1);
     }
 
     @Test
-    void deadOneIsFoundByAllAndNobodyElse() {
+    void crashedMemberAndNoOtherIsDeclaredDead() {
         start(40);
         net.changes.clear();
         net.loss = 0.05;
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void whoLeavesIsNeitherSuspectedNorAskedBack() {
+    void leavingMemberIsNeverSuspectedOrRevived() {
         start(10);
         net.changes.clear();
         net.running.get("i-3").leave(net.now);
@@ -78,12 +78,12 @@
     }
 
     /**
-     * A restart under the same name, before or after the others noticed; word of the former life is
-     * overruled.
+     * A member restarts under its name before or after the others noticed that it was gone; updates
+     * about its former generation are overridden.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 2, 60})
-    void restartUnderTheSameNameIsTakenBackWithItsNewLife(int secondsAway) {
+    void restartedMemberRejoinsWithNewGeneration(int secondsAway) {
         start(10);
         long before = net.running.get("i-4").self().generation();
         net.stop(4);
@@ -103,9 +103,12 @@
         assertThat(again.self().incarnation()).isPositive();
     }
 
-    /** A cut through the middle makes each half take the other for dead; healed, all are back. */
+    /**
+     * A partition makes each half declare the other dead; after it has healed, all members are
+     * present again.
+     */
     @Test
-    void partitionHeals() {
+    void membersRejoinAfterPartitionHeals() {
         start(12);
         net.cut = (from, to) -> from.hashCode() % 2 != to.hashCode() % 2;
         net.pass(MINUTE.multipliedBy(2));
@@ -116,11 +119,11 @@
     }
 
     /**
-     * Only the direct way between two is cut: the others ask for them, and nobody is taken for
-     * dead.
+     * Only the path between two members is cut: the others probe on their behalf, and nobody is
+     * declared dead.
      */
     @Test
-    void indirectProbesKeepWhoCannotBeReachedDirectly() {
+    void indirectProbesPreventDeathWhenDirectPathIsCut() {
         start(8);
         net.changes.clear();
         net.cut =
@@ -135,13 +138,13 @@
     }
 
     /**
-     * Guards against a suspicion that whoever passes it on seems to share, which leaves no time to
-     * clear it.
+     * Guards against counting those who merely pass a suspicion on as confirming it, which leaves
+     * the suspect no time to refute it.
      */
     @Test
-    void listsThatPassASuspicionOnDoNotShareIt() {
+    void memberListsDoNotConfirmSuspicions() {
         Swim swim = net.start(0);
-        Member accused = new Member("x", MemberNet.address(9), 5, 0, State.SUSPECT);
+        Member suspect = new Member("x", MemberNet.address(9), 5, 0, State.SUSPECT);
         swim.receive(
                 new Message(
                         Message.Kind.PING,
@@ -150,24 +153,25 @@
                         null,
                         List.of(
                                 new MemberUpdate(member("y", State.ALIVE), ""),
-                                new MemberUpdate(accused, "y"))),
+                                new MemberUpdate(suspect, "y"))),
                 MemberNet.address(8),
                 net.now);
-        swim.merge(List.of(accused), net.now);
-        Duration byTwo =
-                SwimSettings.defaults().suspicionTimeout(2, 1); // of y, and of its own probes
-        net.pass(byTwo.minusMillis(500));
+        swim.merge(List.of(suspect), net.now);
+        Duration confirmedOnce =
+                SwimSettings.defaults()
+                        .suspicionTimeout(2, 1); // Suspected by y and by its own probes.
+        net.pass(confirmedOnce.minusMillis(500));
         assertThat(seenAs("x", State.SUSPECT)).isEqualTo(1);
         net.pass(Duration.ofSeconds(3));
         assertThat(seenAs("x", State.DEAD)).isEqualTo(1);
     }
 
     /**
-     * Guards against a pause of this process being taken for the silence of those whom it suspected
-     * before.
+     * Guards against a pause of this process being counted as silence of the members that it
+     * suspected before.
      */
     @Test
-    void suspicionsGetTheTimeBackInWhichThisProcessStoodStill() {
+    void suspicionTimeoutExcludesLocalStall() {
         start(3);
         Swim swim = net.running.get("i-0");
         swim.merge(List.of(net.running.get("i-1").self().withState(State.SUSPECT)), net.now);
@@ -186,10 +190,13 @@
         assertAllSee(2);
     }
 
-    /** A death in a list, or told about one that was heard from just now, is a suspicion first. */
+    /**
+     * A death that is reported by a member list, or about a member that sent a message just now,
+     * becomes a suspicion first.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void deathOfOneWhoIsPresentIsDoubted(boolean list) {
+    void reportedDeathOfPresentMemberBecomesSuspicion(boolean list) {
         start(3);
         Swim swim = net.running.get("i-0");
         Member dead = net.running.get("i-1").self().withState(State.DEAD);
@@ -221,12 +228,12 @@
     }
 
     /**
-     * A name in use is kept by its holder against another process, at each member and at the holder
-     * itself.
+     * A name in use stays with its holder when another process claims it: at each other member and
+     * at the holder itself.
      */
     @ParameterizedTest
     @ValueSource(strings = {"i-0", "i-1"})
-    void anotherProcessUnderANameInUseIsRefused(String by) {
+    void nameInUseIsRefusedToAnotherProcess(String by) {
         start(3);
         Swim swim = net.running.get(by);
         Member holder = net.running.get("i-1").self();
@@ -243,7 +250,7 @@
     }
 
     @Test
-    void localHealthFallsWithOwnFailuresAndRecovers() {
+    void localHealthScoreRisesWithFailedProbesAndRecovers() {
         start(4);
         net.cut = (from, to) -> from.equals("i-0") || to.equals("i-0");
         net.pass(Duration.ofSeconds(10));
@@ -257,7 +264,7 @@
     }
 
     @Test
-    void roomForMembersIsBounded() {
+    void numberOfMembersIsBounded() {
         Swim swim = net.start(0);
         for (int i = 1; i < 2000; i++) {
             Member member = new Member("x-" + i, MemberNet.address(i), i, 1, State.ALIVE);
@@ -273,28 +280,29 @@
     }
 
     /**
-     * Whatever order changes come in, the later incarnation holds, and within one the worse state.
+     * In whatever order updates arrive, the highest incarnation wins, and within one the later
+     * state.
      */
     @Test
-    void orderOfNewsDoesNotMatter() {
+    void orderOfUpdatesDoesNotMatter() {
         SplittableRandom random = new SplittableRandom(3);
         for (int round = 0; round < 200; round++) {
-            List<Member> told =
+            List<Member> reported =
                     new java.util.ArrayList<>(
                             IntStream.range(0, 8).mapToObj(i -> anyState(random)).toList());
-            told.add(0, new Member("x", MemberNet.address(9), 5, 0, State.ALIVE));
+            reported.add(0, new Member("x", MemberNet.address(9), 5, 0, State.ALIVE));
             Member last =
-                    told.stream()
+                    reported.stream()
                             .reduce((one, other) -> other.overrides(one) ? other : one)
                             .orElseThrow();
-            java.util.Collections.shuffle(told.subList(1, told.size()), new Random(round));
+            java.util.Collections.shuffle(reported.subList(1, reported.size()), new Random(round));
             Swim swim = new MemberNet(1, SwimSettings.defaults()).start(0);
-            List<MemberUpdate> news =
+            List<MemberUpdate> updates =
                     new java.util.ArrayList<>(
                             List.of(new MemberUpdate(member("y", State.ALIVE), "y")));
-            told.forEach(member -> news.add(new MemberUpdate(member, "y")));
+            reported.forEach(member -> updates.add(new MemberUpdate(member, "y")));
             swim.receive(
-                    new Message(Message.Kind.ACK, 1, "", null, news),
+                    new Message(Message.Kind.ACK, 1, "", null, updates),
                     MemberNet.address(1),
                     Instant.EPOCH);
             assertThat(swim.members())
@@ -303,21 +311,25 @@
         }
     }
 
-    /** Guards against two halves that each take the whole of what a cold node may be sent. */
+    /**
+     * Guards against two sides of a partition that each use the whole of what a cold node may be
+     * sent.
+     */
     @Test
-    void censusForgetsWhoWasLostLaterThanWhoLeft() {
-        RecentMembers census = new RecentMembers("b", Duration.ofSeconds(30));
+    void lostMembersCountLongerThanThoseThatLeft() {
+        RecentMembers recentMembers = new RecentMembers("b", Duration.ofSeconds(30));
         List<Member> all =
                 List.of(
                         member("a", State.ALIVE),
                         member("c", State.SUSPECT),
                         member("d", State.ALIVE));
-        assertThat(census.update(all, Instant.EPOCH)).isEqualTo(new RecentMembers.Share(1, 4));
-        List<Member> less =
+        assertThat(recentMembers.update(all, Instant.EPOCH))
+                .isEqualTo(new RecentMembers.Share(1, 4));
+        List<Member> changed =
                 List.of(member("a", State.DEAD), member("c", State.ALIVE), member("d", State.LEFT));
-        assertThat(census.update(less, Instant.EPOCH.plusSeconds(29)))
+        assertThat(recentMembers.update(changed, Instant.EPOCH.plusSeconds(29)))
                 .isEqualTo(new RecentMembers.Share(1, 3));
-        assertThat(census.update(less, Instant.EPOCH.plusSeconds(31)))
+        assertThat(recentMembers.update(changed, Instant.EPOCH.plusSeconds(31)))
                 .isEqualTo(new RecentMembers.Share(0, 2));
     }
 
@@ -325,7 +337,7 @@
         return new Member(name, MemberNet.address(1), 1, 1, state);
     }
 
-    /** Numbers as they come, and which of them are fresh. */
+    /** Sequence numbers in the order received, and whether each is fresh (F) or replayed (R). */
     @ParameterizedTest
     @CsvSource({
         "'1,2,3', FFF",
@@ -335,7 +347,7 @@
         "'0,-1', RR",
         "'9223372036854775807,1', FR"
     })
-    void numberCountsOnceWithinTheWindow(String numbers, String verdicts) {
+    void sequenceNumberIsAcceptedOnceWithinTheWindow(String numbers, String verdicts) {
         ReplayGuard guard = new ReplayGuard(8);
         InetSocketAddress at = MemberNet.address(1);
         StringBuilder found = new StringBuilder();
