--- a/src/main/java/cypressglade/core/NodeDirectory.java
+++ b/src/main/java/cypressglade/core/NodeDirectory.java
@@ -17,126 +17,133 @@
 import java.util.stream.Collectors;
 
 /**
- * What was told of the nodes last. Ids are stable and addresses are not, so the module knows a node
- * by a number given to its id here. The links ask here before the first byte of an attempt.
+ * The nodes of the latest node list. Ids are stable while addresses change, so the directory gives
+ * each id a number, by which the scheduling policy and the links know the node. The links look a
+ * node up here just before the first byte of an attempt. Safe for use by several threads.
  */
 public final class NodeDirectory {
     /**
-     * A node that is in the list.
+     * A node of the list.
      *
-     * @param started since when its process runs, as discovery told it: by the wall clock
-     * @param runsSince the same on the clock of {@link Time}
+     * @param id stable id of the node
+     * @param address where it serves requests; null is allowed where the node is gone
+     * @param shard shard that the node holds
+     * @param state whether it may get new requests
+     * @param wallClockStart when its process started, as discovery reported it by the wall clock
+     * @param monotonicStart the same by {@link MonotonicClock}
      */
-    public record Known(
+    public record ListedNode(
             String id,
             InetSocketAddress address,
-            int cell,
+            int shard,
             State state,
-            Instant started,
-            Instant runsSince) {}
+            Instant wallClockStart,
+            Instant monotonicStart) {}
 
     private final Map<String, Long> numbers = new HashMap<>();
-    private final Map<Long, Known> nodes = new HashMap<>();
-    private final StartTimes starts = new StartTimes();
+    private final Map<Long, ListedNode> nodes = new HashMap<>();
+    private final StartTimeConverter startTimes = new StartTimeConverter();
     private long version;
     private long lastNumber;
 
-    /** Takes in a list; returns the module's form of it. */
+    /** Applies a list, or a change to it; returns it in the scheduling policy's form. */
     public synchronized List<NodeEntry> update(NodeList list) {
         version = list.version();
-        Instant now = Time.now();
+        Instant now = MonotonicClock.now();
         Instant wall = Instant.now();
-        Set<Long> named = new HashSet<>();
+        Set<Long> listed = new HashSet<>();
         List<NodeEntry> entries = new ArrayList<>();
         for (NodeList.Entry entry : list.entries()) {
             long number = numbers.computeIfAbsent(entry.id(), id -> ++lastNumber);
-            named.add(number);
-            Instant runsSince = starts.onOurClock(entry.id(), entry.started(), now, wall);
+            listed.add(number);
+            Instant start = startTimes.toMonotonic(entry.id(), entry.started(), now, wall);
             nodes.put(
                     number,
-                    new Known(
+                    new ListedNode(
                             entry.id(),
                             entry.address(),
-                            entry.cell(),
+                            entry.shard(),
                             entry.state(),
                             entry.started(),
-                            runsSince));
+                            start));
             entries.add(
                     new NodeEntry(
                             number,
                             entry.zone(),
                             entry.state(),
-                            entry.cell(),
+                            entry.shard(),
                             entry.weight(),
-                            Micros.of(runsSince),
+                            Micros.of(start),
                             entry.kind()));
         }
         if (list.full()) {
-            nodes.keySet().retainAll(named);
+            nodes.keySet().retainAll(listed);
         }
         nodes.values().removeIf(node -> node.state() == State.GONE);
-        numbers.values()
-                .retainAll(nodes.keySet()); // replaced nodes come with new ids, all day long
-        starts.retain(numbers.keySet());
+        // Replaced nodes come back under new ids all the time, so these tables must not grow.
+        numbers.values().retainAll(nodes.keySet());
+        startTimes.retain(numbers.keySet());
         return entries;
     }
 
-    static ListKind kind(NodeList list) {
+    static ListKind listKind(NodeList list) {
         return list.full() ? ListKind.FULL : ListKind.DELTA;
     }
 
-    /** The number of the node that has the id now. */
-    synchronized OptionalLong number(String id) {
+    /** The number of the node that has the id now; empty where the list has no such id. */
+    synchronized OptionalLong numberOf(String id) {
         Long number = numbers.get(id);
         return number == null ? OptionalLong.empty() : OptionalLong.of(number);
     }
 
     /**
-     * The module's views by the ids of their nodes; one that left the list meanwhile is left out.
+     * Pairs the scheduling policy's views with the nodes of the list; views of nodes that have left
+     * the list are omitted.
      */
-    synchronized List<NodeFact> facts(List<NodeView> views) {
+    synchronized List<NodeStatus> statuses(List<NodeView> views) {
         return views.stream()
                 .filter(view -> nodes.containsKey(view.node()))
-                .map(view -> new NodeFact(nodes.get(view.node()), view))
+                .map(view -> new NodeStatus(nodes.get(view.node()), view))
                 .toList();
     }
 
     /**
-     * The same, and after them those of the list that the module keeps nothing of, such as drained
-     * ones.
+     * {@link #statuses}, followed by the listed nodes that the scheduling policy has no view of,
+     * such as drained ones.
      */
-    synchronized List<NodeFact> all(List<NodeView> views) {
-        List<NodeFact> all = new ArrayList<>(facts(views));
+    synchronized List<NodeStatus> allStatuses(List<NodeView> views) {
+        List<NodeStatus> all = new ArrayList<>(statuses(views));
         Set<Long> seen = views.stream().map(NodeView::node).collect(Collectors.toSet());
         nodes.forEach(
-                (number, known) -> {
+                (number, node) -> {
                     if (!seen.contains(number)) {
-                        all.add(new NodeFact(known, NodeView.unknown(number, known.cell())));
+                        all.add(new NodeStatus(node, NodeView.unknown(number, node.shard())));
                     }
                 });
         return all;
     }
 
-    /** How many nodes are known. */
+    /** How many nodes have a number. */
     synchronized int size() {
         return numbers.size();
     }
 
+    /** The version of the latest list; 0 before the first. */
     public synchronized long version() {
         return version;
     }
 
-    /** A node, if work may start there now: it is known, and neither draining nor gone. */
-    public synchronized Optional<Known> ready(long node) {
-        return Optional.ofNullable(nodes.get(node)).filter(known -> known.state() == State.READY);
+    /** The node with this number, if it may get work now; empty if it is drained or not listed. */
+    public synchronized Optional<ListedNode> findReady(long number) {
+        return Optional.ofNullable(nodes.get(number)).filter(node -> node.state() == State.READY);
     }
 
-    /** Whether a shard can take no work because what holds it drains. */
-    public synchronized boolean draining(int shard) {
+    /** Whether a shard accepts no work because all nodes that hold it are draining. */
+    public synchronized boolean isDraining(int shard) {
         Set<State> states =
                 nodes.values().stream()
-                        .filter(node -> node.cell() == shard)
-                        .map(Known::state)
+                        .filter(node -> node.shard() == shard)
+                        .map(ListedNode::state)
                         .collect(Collectors.toSet());
         return states.contains(State.DRAINING) && !states.contains(State.READY);
     }
--- /dev/null
+++ b/src/main/java/cypressglade/core/RetryStormFilter.java
@@ -0,0 +1,202 @@
+package cypressglade.core;
+
+import cypressglade.core.Counters.Name;
+import cypressglade.core.Scheduler.NodeView;
+import cypressglade.core.Scheduler.Plan;
+import cypressglade.core.Scheduler.RequestClass;
+import cypressglade.core.Scheduler.Settings;
+import cypressglade.storm.StormLines;
+import cypressglade.storm.Storms;
+import cypressglade.storm.Storms.Speed;
+import cypressglade.storm.Terms;
+import cypressglade.storm.Try;
+import cypressglade.storm.Weather;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.SplittableRandom;
+
+/**
+ * Connects the engine to {@link Storms}, which keeps storms of client retries from the scheduling
+ * policy: asks it about each request before the policy gets it, when the policy refuses one, and
+ * when a write ends that may have run without its client knowing. Only converts between the types
+ * of the two packages; all decisions are made there. Owned by the engine thread.
+ */
+final class RetryStormFilter implements Storms.Out {
+    private static final System.Logger LOG = System.getLogger(RetryStormFilter.class.getName());
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    /**
+     * Further attempts that a window always allows, besides the fraction of requests: with little
+     * traffic the fraction alone would allow hardly any.
+     */
+    private static final double FREE_ATTEMPTS_PER_WINDOW = 5;
+
+    private static final Duration ATTEMPT_BUDGET_WINDOW = Duration.ofSeconds(1);
+
+    private final Counters counters;
+    private final Storms storms;
+    private final Duration coldWindow;
+    private Settings settings;
+
+    /**
+     * Creates the filter.
+     *
+     * @param coldWindow how long a request that was sent to a cold node counts against its limit
+     * @param now by {@link MonotonicClock}
+     */
+    RetryStormFilter(
+            Terms terms, Settings settings, Duration coldWindow, Counters counters, Instant now) {
+        this.counters = counters;
+        this.coldWindow = coldWindow;
+        storms = new Storms(terms, new SplittableRandom(settings.seed()), this, now);
+        applySettings(settings);
+    }
+
+    /** Takes new settings; earlier decisions, such as retry slots given to clients, stay valid. */
+    void applySettings(Settings next) {
+        settings = next;
+        storms.longest(
+                next.limits().retryAfter()
+                        ? Micros.toDuration(next.limits().maxRetryAfterUs())
+                        : Duration.ZERO);
+    }
+
+    /** Whether this instance's further attempts must keep to {@link #withAttemptBudget} now. */
+    boolean isAttemptBudgetActive() {
+        return storms.saving();
+    }
+
+    /** The settings with a budget of further attempts, unless they have one already. */
+    static Settings withAttemptBudget(Settings base, Terms terms) {
+        return base.within(
+                FREE_ATTEMPTS_PER_WINDOW, terms.secondTries(), Micros.of(ATTEMPT_BUDGET_WINDOW));
+    }
+
+    /**
+     * Answers a request that must not reach the scheduling policy; returns whether it did. A write
+     * that may have run before is failed, any other is refused with the time of its retry slot.
+     */
+    boolean tryReject(RequestTask<?> task, IoRequest request, Instant now) {
+        task.stormRequest = toStormRequest(request);
+        Storms.Decision decision = storms.arrived(task.stormRequest, now);
+        switch (decision.answer()) {
+            case TURNED_AWAY -> task.signal(new RequestTask.Refuse(decision.comeBack()));
+            case IN_DOUBT -> task.signal(new RequestTask.Fail());
+            default -> {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    void served(RequestTask<?> task, Instant now) {
+        storms.served(task.stormRequest, now);
+    }
+
+    /** Reports that the policy refuses a request; returns when its client is to send it again. */
+    Duration refused(RequestTask<?> task, Duration advice, Instant now) {
+        return storms.refused(task.stormRequest, advice, now);
+    }
+
+    /**
+     * Records a request as uncertain if it may have run: it has ended for its client without an
+     * answer that says so.
+     *
+     * @param isInFlight whether an attempt of it is in flight
+     */
+    void recordIfUncertain(RequestTask<?> task, boolean isInFlight, Instant now) {
+        if (task.stormRequest != null && (isInFlight || task.mayHaveRun)) {
+            storms.doubts().add(task.stormRequest, task.firstSent, now);
+        }
+    }
+
+    /** The attempt that was in flight when the client disconnected has ended without running. */
+    void recordNeverRan(RequestTask<?> task) {
+        if (task.stormRequest != null && !task.mayHaveRun) {
+            storms.doubts().neverRan(task.stormRequest);
+        }
+    }
+
+    /** The uncertain writes, serialized for the next generation of this instance. */
+    byte[] uncertainWrites(Instant now) {
+        return storms.doubts().bytes(now);
+    }
+
+    /**
+     * Restores the uncertain writes of the previous generation. Where they are not known, every
+     * write that could be uncertain is taken to be so.
+     */
+    void restoreUncertainWrites(Optional<byte[]> previous, Instant now) {
+        previous.ifPresentOrElse(storms.doubts()::restore, () -> storms.doubts().blind(now));
+    }
+
+    /**
+     * The storm detector's form of a request. Where the settings lack its class or plan, the weight
+     * of its plan and the effect of its class get defaults.
+     */
+    Try toStormRequest(IoRequest request) {
+        boolean known =
+                request.requestClass() < settings.classes().size()
+                        && request.plan() < settings.plans().size();
+        Plan plan = known ? settings.plans().get(request.plan()) : null;
+        RequestClass type = known ? settings.classes().get(request.requestClass()) : null;
+        return new Try(
+                request.shard(),
+                request.volume(),
+                plan == null ? 1 : Math.max(plan.weight(), 0.01),
+                request.key(),
+                request.requestClass(),
+                request.units(),
+                request.isRetry(),
+                effect(type, request),
+                request.idempotencyToken(),
+                type == null ? Duration.ZERO : Micros.toDuration(type.keyTtlUs()),
+                request.expiry());
+    }
+
+    private static Try.Effect effect(RequestClass type, IoRequest request) {
+        if (type == null || type.effect() == Scheduler.Effect.SAFE) {
+            return Try.Effect.NONE;
+        }
+        return type.effect() == Scheduler.Effect.KEYED && request.idempotencyToken() != 0
+                ? Try.Effect.DROPPED
+                : Try.Effect.TWICE;
+    }
+
+    /**
+     * Passes on the speed of each shard as the scheduling policy sees it. Each instance counts only
+     * an even share of a shard's speed as its own, because all of them send to it.
+     */
+    void updateNodes(List<NodeView> views, Instant now) {
+        Map<Integer, Speed> speeds = new HashMap<>();
+        for (NodeView view : views) {
+            if (view.ready() && !view.silent()) {
+                double maxUnitsPerSecond =
+                        view.coldRoom() == Double.MAX_VALUE
+                                ? Double.POSITIVE_INFINITY
+                                : view.coldRoom() / Math.max(coldWindow.toNanos() / 1e9, 1e-3);
+                speeds.put(
+                        view.shard(),
+                        new Speed(
+                                MICROS_PER_SECOND / view.paceUs() / settings.heads(),
+                                maxUnitsPerSecond));
+            }
+        }
+        storms.speeds(speeds);
+        storms.tick(now);
+    }
+
+    @Override
+    public void turned(String place, Weather.State state, Instant now) {
+        LOG.log(System.Logger.Level.INFO, "{0}", StormLines.turned(place, state, now));
+    }
+
+    @Override
+    public void counted(Storms.Count what) {
+        counters.add(Name.valueOf("STORM_" + what.name()));
+    }
+}
--- a/src/main/java/cypressglade/peer/Peers.java
+++ b/src/main/java/cypressglade/peer/Peers.java
@@ -1,19 +1,21 @@
 package cypressglade.peer;
 
+import static cypressglade.member.ReplayGuard.Verdict.UNKNOWN_GENERATION;
+
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import cypressglade.core.Asked;
 import cypressglade.core.Counters;
 import cypressglade.core.Counters.Name;
+import cypressglade.core.DemandTracker;
 import cypressglade.core.Engine;
-import cypressglade.core.NodeFact;
-import cypressglade.core.Time;
+import cypressglade.core.MonotonicClock;
+import cypressglade.core.NodeStatus;
 import cypressglade.fleet.View;
 import cypressglade.learn.Learner;
+import cypressglade.learn.NodeObservation;
 import cypressglade.learn.Origin;
-import cypressglade.learn.Word;
-import cypressglade.member.Census;
 import cypressglade.member.Member;
 import cypressglade.member.Message;
+import cypressglade.member.RecentMembers;
 import cypressglade.member.ReplayGuard;
 import cypressglade.member.Swim;
 import cypressglade.net.Datagrams;
@@ -103,8 +105,8 @@
     private final Set<InetSocketAddress> pulls = new HashSet<>();
     private final Map<InetSocketAddress, Message> held = new LinkedHashMap<>();
     private final Set<Sealed.Fault> logged = new HashSet<>();
-    private Census census;
-    private Census.Share share = new Census.Share(0, 1);
+    private RecentMembers census;
+    private RecentMembers.Share share = new RecentMembers.Share(0, 1);
     private Swim swim;
     private Optional<View> view = Optional.empty();
     private Optional<Sharing<InetSocketAddress>> sharing = Optional.empty();
@@ -163,7 +165,7 @@
                 () ->
                         sharing.ifPresent(
                                 kept -> {
-                                    say(kept.give(subject, word, Time.now()), "verdict");
+                                    say(kept.give(subject, word, MonotonicClock.now()), "verdict");
                                     keepVerdicts(kept);
                                 }));
     }
@@ -211,8 +213,9 @@
 
     /** Loads what the first transfer needs, so that the wait for a peer is not spent on that. */
     private void warm() throws IOException {
-        Instant now = Time.now();
-        Word word = new Word("warm", 0, 1, 0, 0, 0, 0, Duration.ZERO, now, learner.self());
+        Instant now = MonotonicClock.now();
+        NodeObservation word =
+                new NodeObservation("warm", 0, 1, 0, 0, 0, 0, Duration.ZERO, now, learner.self());
         try {
             byte[] body =
                     Codec.bytes(
@@ -250,7 +253,8 @@
                         said.complete(
                                 view.map(
                                         kept -> {
-                                            ObjectNode whole = kept.whole(swim, Time.now());
+                                            ObjectNode whole =
+                                                    kept.whole(swim, MonotonicClock.now());
                                             sharing.ifPresent(
                                                     shared -> SharedLines.add(whole, shared));
                                             return whole.toString();
@@ -285,7 +289,7 @@
                 () -> {
                     closed = true;
                     if (swim != null) {
-                        swim.leave(Time.now());
+                        swim.leave(MonotonicClock.now());
                     }
                     byte[] body = body();
                     disk.execute(
@@ -353,8 +357,8 @@
                         .filter(listen -> !listen.getAddress().isAnyLocalAddress())
                         .map(listen -> new InetSocketAddress(listen.getAddress(), 0));
         client = new TransferClient(loop, local, this::execute, random, () -> keys);
-        census = new Census(config.name(), CENSUS_HOLD);
-        Instant now = Time.now();
+        census = new RecentMembers(config.name(), CENSUS_HOLD);
+        Instant now = MonotonicClock.now();
         swim =
                 new Swim(
                         new Member(config.name(), at, life, 0, Member.State.ALIVE),
@@ -371,7 +375,7 @@
                                         new Sharing<>(
                                                 config.name(),
                                                 terms,
-                                                engine.coldSpan(),
+                                                engine.coldWindow(),
                                                 recallVerdicts(),
                                                 random,
                                                 new Shared(terms),
@@ -382,7 +386,7 @@
                     if (pulls.isEmpty()) {
                         learned.countDown(); // nobody to learn from
                     }
-                    repeat(() -> swim.tick(Time.now()), swim::due);
+                    repeat(() -> swim.tick(MonotonicClock.now()), swim::nextTickAt);
                     sharing.ifPresent(this::begin);
                 });
         owner.scheduleWithFixedDelay(
@@ -395,16 +399,16 @@
     private void begin(Sharing<InetSocketAddress> kept) {
         kept.begin();
         // past the edge of its window
-        repeat(() -> tick(kept), () -> kept.due(Time.now()).plusMillis(1));
+        repeat(() -> tick(kept), () -> kept.due(MonotonicClock.now()).plusMillis(1));
     }
 
     private void tick(Sharing<InetSocketAddress> kept) {
         Map<String, InetSocketAddress> present =
-                swim.present().stream()
+                swim.presentMembers().stream()
                         .collect(
                                 Collectors.toMap(
                                         Member::name, Member::address, (one, other) -> one));
-        kept.tick(present, Time.now());
+        kept.tick(present, MonotonicClock.now());
     }
 
     /** Both sockets have one port; where it is any, the one that TCP got may be taken on UDP. */
@@ -429,7 +433,8 @@
      * Looks, and plans the next look; also where this one had a fault, as it must not be the last.
      */
     private void repeat(Runnable look, Supplier<Instant> due) {
-        Instant next = Time.now().plus(LOOK); // after a fault, which may come again at once
+        Instant next =
+                MonotonicClock.now().plus(LOOK); // after a fault, which may come again at once
         try {
             look.run();
             next = due.get();
@@ -437,7 +442,7 @@
             if (!closed) {
                 owner.schedule(
                         guarded(() -> repeat(look, due)),
-                        Math.max(1, Time.until(next).toMillis()),
+                        Math.max(1, MonotonicClock.until(next).toMillis()),
                         TimeUnit.MILLISECONDS);
             }
         }
@@ -446,27 +451,28 @@
     /** Asks the module what it knows, and tells it what it does not. */
     private void look() {
         shortAnswers = 0;
-        engine.views(facts -> execute(() -> seen(facts)));
+        engine.readNodes(facts -> execute(() -> seen(facts)));
         recount();
     }
 
     /** Told at once when somebody comes: from then on each may send a cold node its part only. */
     private void recount() {
-        members = swim == null ? List.of() : List.copyOf(swim.list());
+        members = swim == null ? List.of() : List.copyOf(swim.members());
         view.ifPresent(kept -> kept.retain(members));
         if (swim != null && config.talk().get().shareCold()) {
-            Census.Share next = census.count(swim.list(), Time.now());
+            RecentMembers.Share next = census.update(swim.members(), MonotonicClock.now());
             if (!next.equals(share)) {
                 share = next;
-                engine.share(next.rank(), next.heads());
+                engine.setInstances(next.rank(), next.instances());
             }
         }
     }
 
-    private void seen(List<NodeFact> facts) {
-        Instant now = Time.now();
-        learner.own(facts, now);
-        learner.hints(facts, now).forEach(taught -> engine.hint(taught.node(), taught::hint));
+    private void seen(List<NodeStatus> facts) {
+        Instant now = MonotonicClock.now();
+        learner.observe(facts, now);
+        learner.hints(facts, now)
+                .forEach(taught -> engine.hint(taught.nodeId(), taught::toSchedulerHint));
         publish();
     }
 
@@ -489,7 +495,7 @@
     // ---- transfers
 
     private void refresh() {
-        List<Member> present = swim.present();
+        List<Member> present = swim.presentMembers();
         if (!present.isEmpty()) {
             pull(present.get(random.nextInt(present.size())).address());
         }
@@ -505,13 +511,13 @@
                 new TransferClient.Listener() {
                     @Override
                     public List<Member> members() {
-                        return swim.list().stream().limit(MEMBERS_A_FRAME).toList();
+                        return swim.members().stream().limit(MEMBERS_A_FRAME).toList();
                     }
 
                     @Override
                     public void came(Transfer frame) {
-                        swim.merge(frame.members(), Time.now());
-                        learner.take(frame.words(), Time.now());
+                        swim.merge(frame.members(), MonotonicClock.now());
+                        learner.receive(frame.words(), MonotonicClock.now());
                         sharing.ifPresent(kept -> kept.take(frame.verdicts()));
                         publish();
                     }
@@ -524,7 +530,7 @@
                         LOG.log(Level.DEBUG, "transfer from {0}: {1}", from, fault);
                         // What came goes to the module before the doors open: its events are taken
                         // in order.
-                        engine.views(
+                        engine.readNodes(
                                 facts ->
                                         execute(
                                                 () -> {
@@ -543,7 +549,7 @@
     }
 
     private List<byte[]> answer(byte[] question, long nonce) {
-        Instant now = Time.now();
+        Instant now = MonotonicClock.now();
         try {
             Transfer asked = Codec.transfer(Sealed.open(keys, question), now);
             if (asked.nonce() != nonce) {
@@ -562,9 +568,9 @@
     }
 
     private List<byte[]> answer(Transfer asked, Instant now) {
-        List<Member> members = swim.list();
-        List<Word> words =
-                learner.words(
+        List<Member> members = swim.members();
+        List<NodeObservation> words =
+                learner.observations(
                         now,
                         Math.min(
                                 Math.min(Codec.MOST_WORDS, asked.index()),
@@ -607,13 +613,13 @@
         for (Learner.Count count : Learner.Count.values()) {
             figures.put(count.name().toLowerCase(Locale.ROOT), learner.count(count));
         }
-        figures.put("words_kept", (long) learner.kept());
-        figures.put("shares_cold_among", (long) share.heads());
-        figures.put("name_conflicts", swim.conflicts());
-        figures.put("names_refused", swim.namesRefused());
+        figures.put("words_kept", (long) learner.peerObservationCount());
+        figures.put("shares_cold_among", (long) share.instances());
+        figures.put("name_conflicts", swim.nameConflicts());
+        figures.put("names_refused", swim.refusedNameClaims());
         figures.put("health", (long) swim.health().score());
         figures.put("stalls", swim.stalls());
-        figures.put("members_turned_away", swim.turnedAway());
+        figures.put("members_turned_away", swim.rejectedMembers());
         sharing.ifPresent(
                 kept -> {
                     figures.put("limits_agreed_among", (long) kept.granted().agreed());
@@ -644,10 +650,11 @@
                         put(from, kept);
                     }
                     envelope.message()
-                            .ifPresent(message -> swim.receive(message, from, Time.now()));
+                            .ifPresent(
+                                    message -> swim.receive(message, from, MonotonicClock.now()));
                     envelope.notice().ifPresent(notice -> receive(notice, from));
                 }
-                case UNKNOWN_LIFE -> {
+                case UNKNOWN_GENERATION -> {
                     if (envelope.says()) { // or two would tell each other without end
                         answerShortly(from, ownLife(envelope.from()));
                     }
@@ -670,7 +677,7 @@
 
     /** A sealed envelope without content: tells an instance the life of this one. */
     private byte[] ownLife(long to) {
-        Envelope envelope = new Envelope(life, to, guard.next(), Optional.empty());
+        Envelope envelope = new Envelope(life, to, guard.nextSequenceNumber(), Optional.empty());
         return Sealed.seal(keys, Codec.bytes(envelope));
     }
 
@@ -698,7 +705,11 @@
                         keys,
                         Codec.bytes(
                                 new Envelope(
-                                        life, guard.lifeAt(to), guard.next(), message, notice))));
+                                        life,
+                                        guard.generationAt(to),
+                                        guard.nextSequenceNumber(),
+                                        message,
+                                        notice))));
     }
 
     /** What sharing orders. */
@@ -729,7 +740,7 @@
         @Override
         public void granted(Grant grant) {
             Map<Long, Double> volumes = new HashMap<>();
-            Map<Asked.ColdNode, Double> cold = new HashMap<>();
+            Map<DemandTracker.ColdNode, Double> cold = new HashMap<>();
             grant.parts()
                     .forEach(
                             (key, part) -> {
@@ -739,13 +750,13 @@
                                     Key.run(key)
                                             .map(
                                                     run ->
-                                                            new Asked.ColdNode(
+                                                            new DemandTracker.ColdNode(
                                                                     run.id(), run.startedUs()))
                                             .ifPresent(node -> cold.put(node, part));
                                 }
                             });
-            engine.grant(
-                    new Engine.Granted(
+            engine.applyAllocation(
+                    new Engine.LimitAllocation(
                             volumes,
                             cold,
                             grant.rest(),
@@ -756,12 +767,12 @@
 
         @Override
         public void ask(long window) {
-            engine.demand(
+            engine.takeDemand(
                     demand -> {
                         Map<String, Double> wanted = new HashMap<>();
-                        demand.volumes()
+                        demand.unitsByVolume()
                                 .forEach((volume, units) -> wanted.put(Key.volume(volume), units));
-                        demand.cold()
+                        demand.unitsByColdNode()
                                 .forEach(
                                         (node, units) ->
                                                 wanted.put(
@@ -773,7 +784,10 @@
     }
 
     private void say(Verdict verdict, String what) {
-        LOG.log(Level.INFO, "{0}", SharedLines.verdict(config.name(), what, verdict, Time.now()));
+        LOG.log(
+                Level.INFO,
+                "{0}",
+                SharedLines.verdict(config.name(), what, verdict, MonotonicClock.now()));
     }
 
     private void keepVerdicts(Sharing<InetSocketAddress> kept) {
@@ -802,10 +816,10 @@
     }
 
     /** What the membership orders. */
-    private final class Wiring implements Swim.Out {
+    private final class Wiring implements Swim.Callbacks {
         @Override
         public void send(InetSocketAddress to, Message message) {
-            if (guard.lifeAt(to) == 0 && (held.size() < MOST_HELD || held.containsKey(to))) {
+            if (guard.generationAt(to) == 0 && (held.size() < MOST_HELD || held.containsKey(to))) {
                 held.put(
                         to,
                         message); // it will be turned away and is sent again when the life is known
@@ -814,17 +828,17 @@
         }
 
         @Override
-        public void exchange(InetSocketAddress with) {
+        public void exchangeMemberLists(InetSocketAddress with) {
             pull(with);
         }
 
         @Override
-        public void changed(Member member) {
+        public void memberChanged(Member member) {
             recount();
             LOG.log(
                     Level.INFO,
                     "{0}",
-                    view.map(kept -> kept.change(member, Time.now()))
+                    view.map(kept -> kept.change(member, MonotonicClock.now()))
                             .orElseGet(
                                     () ->
                                             "member "
@@ -836,8 +850,9 @@
         }
 
         @Override
-        public void refused(Member known, Member claim) {
-            String line = view.map(kept -> kept.refusal(known, claim, Time.now())).orElse("");
+        public void nameClaimRefused(Member known, Member claim) {
+            String line =
+                    view.map(kept -> kept.refusal(known, claim, MonotonicClock.now())).orElse("");
             if (!line.isEmpty()) {
                 LOG.log(Level.WARNING, "{0}", line);
             }
@@ -848,7 +863,9 @@
 
     private byte[] body() {
         return Codec.snapshot(
-                config.name(), learner.words(Time.now(), Codec.MOST_WORDS), Time.now());
+                config.name(),
+                learner.observations(MonotonicClock.now(), Codec.MOST_WORDS),
+                MonotonicClock.now());
     }
 
     private void write(byte[] body) {
@@ -874,11 +891,11 @@
                                         config.snapshots().get().mostAge(),
                                         this::words,
                                         this::ignored))
-                .ifPresent(words -> learner.take(words, Time.now()));
+                .ifPresent(words -> learner.receive(words, MonotonicClock.now()));
     }
 
-    private List<Word> words(SnapshotStore.Found found) throws IOException {
-        return Codec.snapshot(found.body(), config.name(), found.age(), Time.now())
+    private List<NodeObservation> words(SnapshotStore.Found found) throws IOException {
+        return Codec.snapshot(found.body(), config.name(), found.age(), MonotonicClock.now())
                 .orElseThrow(() -> new IOException("another instance's"));
     }
 }
--- a/src/test/java/cypressglade/member/SwimTest.java
+++ b/src/test/java/cypressglade/member/SwimTest.java
@@ -16,39 +16,43 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Membership in virtual time. */
+/** Tests the membership protocol in virtual time, on a simulated network. */
 class SwimTest {
     private static final Duration MINUTE = Duration.ofMinutes(1);
-    private final MemberNet net = new MemberNet(11, Timing.standard());
+    private final MemberNet net = new MemberNet(11, SwimSettings.defaults());
 
     private void start(int count) {
         IntStream.range(0, count).forEach(net::start);
         net.pass(MINUTE);
     }
 
-    /** Whether all that run see the same number of others. */
+    /** Asserts that each running instance has this number of other members present. */
     private void assertAllSee(int others) {
         net.running
                 .values()
-                .forEach(swim -> assertThat(swim.present()).as(swim.self().name()).hasSize(others));
+                .forEach(
+                        swim ->
+                                assertThat(swim.presentMembers())
+                                        .as(swim.self().name())
+                                        .hasSize(others));
     }
 
     private long seenAs(String name, State state) {
         return net.running.values().stream()
-                .flatMap(swim -> swim.list().stream())
+                .flatMap(swim -> swim.members().stream())
                 .filter(member -> member.name().equals(name) && member.state() == state)
                 .count();
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 40})
-    void allWhoStartFindEachOther(int count) {
+    void startedInstancesDiscoverEachOther(int count) {
         start(count);
         assertAllSee(count - 1);
     }
 
     @Test
-    void deadOneIsFoundByAllAndNobodyElse() {
+    void crashedMemberAndNoOtherIsDeclaredDead() {
         start(40);
         net.changes.clear();
         net.loss = 0.05;
@@ -62,7 +66,7 @@
     }
 
     @Test
-    void whoLeavesIsNeitherSuspectedNorAskedBack() {
+    void leavingMemberIsNeverSuspectedOrRevived() {
         start(10);
         net.changes.clear();
         net.running.get("i-3").leave(net.now);
@@ -74,14 +78,14 @@
     }
 
     /**
-     * A restart under the same name, before or after the others noticed; word of the former life is
-     * overruled.
+     * A member restarts under its name before or after the others noticed that it was gone; updates
+     * about its former generation are overridden.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 2, 60})
-    void restartUnderTheSameNameIsTakenBackWithItsNewLife(int secondsAway) {
+    void restartedMemberRejoinsWithNewGeneration(int secondsAway) {
         start(10);
-        long before = net.running.get("i-4").self().life();
+        long before = net.running.get("i-4").self().generation();
         net.stop(4);
         net.pass(Duration.ofSeconds(secondsAway));
         Swim again = net.start(4);
@@ -91,32 +95,35 @@
                 .values()
                 .forEach(
                         swim ->
-                                assertThat(swim.list())
+                                assertThat(swim.members())
                                         .filteredOn(member -> member.name().equals("i-4"))
-                                        .extracting(Member::life)
-                                        .containsExactly(again.self().life()));
-        assertThat(again.self().life()).isNotEqualTo(before);
+                                        .extracting(Member::generation)
+                                        .containsExactly(again.self().generation()));
+        assertThat(again.self().generation()).isNotEqualTo(before);
         assertThat(again.self().incarnation()).isPositive();
     }
 
-    /** A cut through the middle makes each half take the other for dead; healed, all are back. */
+    /**
+     * A partition makes each half declare the other dead; after it has healed, all members are
+     * present again.
+     */
     @Test
-    void partitionHeals() {
+    void membersRejoinAfterPartitionHeals() {
         start(12);
         net.cut = (from, to) -> from.hashCode() % 2 != to.hashCode() % 2;
         net.pass(MINUTE.multipliedBy(2));
-        net.running.values().forEach(swim -> assertThat(swim.present()).hasSizeLessThan(11));
+        net.running.values().forEach(swim -> assertThat(swim.presentMembers()).hasSizeLessThan(11));
         net.cut = (from, to) -> false;
         net.pass(MINUTE.multipliedBy(2));
         assertAllSee(11);
     }
 
     /**
-     * Only the direct way between two is cut: the others ask for them, and nobody is taken for
-     * dead.
+     * Only the path between two members is cut: the others probe on their behalf, and nobody is
+     * declared dead.
      */
     @Test
-    void indirectProbesKeepWhoCannotBeReachedDirectly() {
+    void indirectProbesPreventDeathWhenDirectPathIsCut() {
         start(8);
         net.changes.clear();
         net.cut =
@@ -131,39 +138,43 @@
     }
 
     /**
-     * Guards against a suspicion that whoever passes it on seems to share, which leaves no time to
-     * clear it.
+     * Guards against counting those who merely pass a suspicion on as confirming it, which leaves
+     * the suspect no time to refute it.
      */
     @Test
-    void listsThatPassASuspicionOnDoNotShareIt() {
+    void memberListsDoNotConfirmSuspicions() {
         Swim swim = net.start(0);
-        Member accused = new Member("x", MemberNet.address(9), 5, 0, State.SUSPECT);
+        Member suspect = new Member("x", MemberNet.address(9), 5, 0, State.SUSPECT);
         swim.receive(
                 new Message(
                         Message.Kind.PING,
                         1,
                         "",
                         null,
-                        List.of(new News(member("y", State.ALIVE), ""), new News(accused, "y"))),
+                        List.of(
+                                new MemberUpdate(member("y", State.ALIVE), ""),
+                                new MemberUpdate(suspect, "y"))),
                 MemberNet.address(8),
                 net.now);
-        swim.merge(List.of(accused), net.now);
-        Duration byTwo = Timing.standard().suspicion(2, 1); // of y, and of its own probes
-        net.pass(byTwo.minusMillis(500));
+        swim.merge(List.of(suspect), net.now);
+        Duration confirmedOnce =
+                SwimSettings.defaults()
+                        .suspicionTimeout(2, 1); // Suspected by y and by its own probes.
+        net.pass(confirmedOnce.minusMillis(500));
         assertThat(seenAs("x", State.SUSPECT)).isEqualTo(1);
         net.pass(Duration.ofSeconds(3));
         assertThat(seenAs("x", State.DEAD)).isEqualTo(1);
     }
 
     /**
-     * Guards against a pause of this process being taken for the silence of those whom it suspected
-     * before.
+     * Guards against a pause of this process being counted as silence of the members that it
+     * suspected before.
      */
     @Test
-    void suspicionsGetTheTimeBackInWhichThisProcessStoodStill() {
+    void suspicionTimeoutExcludesLocalStall() {
         start(3);
         Swim swim = net.running.get("i-0");
-        swim.merge(List.of(net.running.get("i-1").self().as(State.SUSPECT)), net.now);
+        swim.merge(List.of(net.running.get("i-1").self().withState(State.SUSPECT)), net.now);
         net.changes.clear();
         net.stall(0);
         net.pass(MINUTE);
@@ -179,13 +190,16 @@
         assertAllSee(2);
     }
 
-    /** A death in a list, or told about one that was heard from just now, is a suspicion first. */
+    /**
+     * A death that is reported by a member list, or about a member that sent a message just now,
+     * becomes a suspicion first.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void deathOfOneWhoIsPresentIsDoubted(boolean list) {
+    void reportedDeathOfPresentMemberBecomesSuspicion(boolean list) {
         start(3);
         Swim swim = net.running.get("i-0");
-        Member dead = net.running.get("i-1").self().as(State.DEAD);
+        Member dead = net.running.get("i-1").self().withState(State.DEAD);
         if (list) {
             swim.merge(List.of(dead), net.now);
         } else {
@@ -196,12 +210,12 @@
                             "",
                             null,
                             List.of(
-                                    new News(net.running.get("i-2").self(), "i-2"),
-                                    new News(dead, "i-2"))),
+                                    new MemberUpdate(net.running.get("i-2").self(), "i-2"),
+                                    new MemberUpdate(dead, "i-2"))),
                     MemberNet.address(2),
                     net.now);
         }
-        assertThat(swim.list())
+        assertThat(swim.members())
                 .filteredOn(member -> member.name().equals("i-1"))
                 .extracting(Member::state)
                 .containsExactly(State.SUSPECT);
@@ -214,34 +228,35 @@
     }
 
     /**
-     * A name in use is kept by its holder against another process, at each member and at the holder
-     * itself.
+     * A name in use stays with its holder when another process claims it: at each other member and
+     * at the holder itself.
      */
     @ParameterizedTest
     @ValueSource(strings = {"i-0", "i-1"})
-    void anotherProcessUnderANameInUseIsRefused(String by) {
+    void nameInUseIsRefusedToAnotherProcess(String by) {
         start(3);
         Swim swim = net.running.get(by);
         Member holder = net.running.get("i-1").self();
         Member claim = new Member("i-1", MemberNet.address(77), 99, 50, State.ALIVE);
         swim.receive(
-                new Message(Message.Kind.PING, 1, "", null, List.of(new News(claim, "i-1"))),
+                new Message(
+                        Message.Kind.PING, 1, "", null, List.of(new MemberUpdate(claim, "i-1"))),
                 claim.address(),
                 net.now);
-        assertThat(swim.namesRefused()).isEqualTo(1);
-        assertThat(swim.list())
+        assertThat(swim.refusedNameClaims()).isEqualTo(1);
+        assertThat(swim.members())
                 .filteredOn(member -> member.name().equals("i-1"))
                 .containsExactly(holder);
     }
 
     @Test
-    void localHealthFallsWithOwnFailuresAndRecovers() {
+    void localHealthScoreRisesWithFailedProbesAndRecovers() {
         start(4);
         net.cut = (from, to) -> from.equals("i-0") || to.equals("i-0");
         net.pass(Duration.ofSeconds(10));
         Swim swim = net.running.get("i-0");
-        assertThat(swim.health().score()).isEqualTo(LocalHealth.MOST);
-        assertThat(net.running.get("i-1").health().score()).isLessThan(LocalHealth.MOST);
+        assertThat(swim.health().score()).isEqualTo(LocalHealth.MAX_SCORE);
+        assertThat(net.running.get("i-1").health().score()).isLessThan(LocalHealth.MAX_SCORE);
         net.cut = (from, to) -> false;
         net.pass(MINUTE);
         assertThat(swim.health().score()).isZero();
@@ -249,14 +264,14 @@
     }
 
     @Test
-    void roomForMembersIsBounded() {
+    void numberOfMembersIsBounded() {
         Swim swim = net.start(0);
         for (int i = 1; i < 2000; i++) {
             Member member = new Member("x-" + i, MemberNet.address(i), i, 1, State.ALIVE);
             swim.merge(List.of(member), net.now);
         }
-        assertThat(swim.present()).hasSize(Timing.standard().mostMembers());
-        assertThat(swim.turnedAway()).isEqualTo(1999 - Timing.standard().mostMembers());
+        assertThat(swim.presentMembers()).hasSize(SwimSettings.defaults().maxMembers());
+        assertThat(swim.rejectedMembers()).isEqualTo(1999 - SwimSettings.defaults().maxMembers());
     }
 
     private static Member anyState(SplittableRandom random) {
@@ -265,58 +280,64 @@
     }
 
     /**
-     * Whatever order changes come in, the later incarnation holds, and within one the worse state.
+     * In whatever order updates arrive, the highest incarnation wins, and within one the later
+     * state.
      */
     @Test
-    void orderOfNewsDoesNotMatter() {
+    void orderOfUpdatesDoesNotMatter() {
         SplittableRandom random = new SplittableRandom(3);
         for (int round = 0; round < 200; round++) {
-            List<Member> told =
+            List<Member> reported =
                     new java.util.ArrayList<>(
                             IntStream.range(0, 8).mapToObj(i -> anyState(random)).toList());
-            told.add(0, new Member("x", MemberNet.address(9), 5, 0, State.ALIVE));
+            reported.add(0, new Member("x", MemberNet.address(9), 5, 0, State.ALIVE));
             Member last =
-                    told.stream()
-                            .reduce((one, other) -> other.overrules(one) ? other : one)
+                    reported.stream()
+                            .reduce((one, other) -> other.overrides(one) ? other : one)
                             .orElseThrow();
-            java.util.Collections.shuffle(told.subList(1, told.size()), new Random(round));
-            Swim swim = new MemberNet(1, Timing.standard()).start(0);
-            List<News> news =
-                    new java.util.ArrayList<>(List.of(new News(member("y", State.ALIVE), "y")));
-            told.forEach(member -> news.add(new News(member, "y")));
+            java.util.Collections.shuffle(reported.subList(1, reported.size()), new Random(round));
+            Swim swim = new MemberNet(1, SwimSettings.defaults()).start(0);
+            List<MemberUpdate> updates =
+                    new java.util.ArrayList<>(
+                            List.of(new MemberUpdate(member("y", State.ALIVE), "y")));
+            reported.forEach(member -> updates.add(new MemberUpdate(member, "y")));
             swim.receive(
-                    new Message(Message.Kind.ACK, 1, "", null, news),
+                    new Message(Message.Kind.ACK, 1, "", null, updates),
                     MemberNet.address(1),
                     Instant.EPOCH);
-            assertThat(swim.list())
+            assertThat(swim.members())
                     .filteredOn(member -> member.name().equals("x"))
                     .containsExactly(last);
         }
     }
 
-    /** Guards against two halves that each take the whole of what a cold node may be sent. */
+    /**
+     * Guards against two sides of a partition that each use the whole of what a cold node may be
+     * sent.
+     */
     @Test
-    void censusForgetsWhoWasLostLaterThanWhoLeft() {
-        Census census = new Census("b", Duration.ofSeconds(30));
+    void lostMembersCountLongerThanThoseThatLeft() {
+        RecentMembers recentMembers = new RecentMembers("b", Duration.ofSeconds(30));
         List<Member> all =
                 List.of(
                         member("a", State.ALIVE),
                         member("c", State.SUSPECT),
                         member("d", State.ALIVE));
-        assertThat(census.count(all, Instant.EPOCH)).isEqualTo(new Census.Share(1, 4));
-        List<Member> less =
+        assertThat(recentMembers.update(all, Instant.EPOCH))
+                .isEqualTo(new RecentMembers.Share(1, 4));
+        List<Member> changed =
                 List.of(member("a", State.DEAD), member("c", State.ALIVE), member("d", State.LEFT));
-        assertThat(census.count(less, Instant.EPOCH.plusSeconds(29)))
-                .isEqualTo(new Census.Share(1, 3));
-        assertThat(census.count(less, Instant.EPOCH.plusSeconds(31)))
-                .isEqualTo(new Census.Share(0, 2));
+        assertThat(recentMembers.update(changed, Instant.EPOCH.plusSeconds(29)))
+                .isEqualTo(new RecentMembers.Share(1, 3));
+        assertThat(recentMembers.update(changed, Instant.EPOCH.plusSeconds(31)))
+                .isEqualTo(new RecentMembers.Share(0, 2));
     }
 
     private static Member member(String name, State state) {
         return new Member(name, MemberNet.address(1), 1, 1, state);
     }
 
-    /** Numbers as they come, and which of them are fresh. */
+    /** Sequence numbers in the order received, and whether each is fresh (F) or replayed (R). */
     @ParameterizedTest
     @CsvSource({
         "'1,2,3', FFF",
@@ -326,7 +347,7 @@
         "'0,-1', RR",
         "'9223372036854775807,1', FR"
     })
-    void numberCountsOnceWithinTheWindow(String numbers, String verdicts) {
+    void sequenceNumberIsAcceptedOnceWithinTheWindow(String numbers, String verdicts) {
         ReplayGuard guard = new ReplayGuard(8);
         InetSocketAddress at = MemberNet.address(1);
         StringBuilder found = new StringBuilder();
@@ -334,7 +355,7 @@
             found.append(guard.check(at, 7, 8, Long.parseLong(number)).name().charAt(0));
         }
         assertThat(found).hasToString(verdicts);
-        assertThat(guard.lifeAt(at)).isEqualTo(verdicts.contains("F") ? 7 : 0);
-        assertThat(guard.check(at, 7, 9, 1000)).isEqualTo(ReplayGuard.Verdict.UNKNOWN_LIFE);
+        assertThat(guard.generationAt(at)).isEqualTo(verdicts.contains("F") ? 7 : 0);
+        assertThat(guard.check(at, 7, 9, 1000)).isEqualTo(ReplayGuard.Verdict.UNKNOWN_GENERATION);
     }
 }
