--- a/src/main/java/cypressglade/adapter/Adapter.java
+++ b/src/main/java/cypressglade/adapter/Adapter.java
@@ -2,13 +2,13 @@
 
 import cypressglade.config.ConfigException;
 import cypressglade.config.SettingsParser;
-import cypressglade.core.Brain;
 import cypressglade.core.Scheduler;
 import cypressglade.core.Scheduler.ListKind;
 import cypressglade.core.Scheduler.NodeEntry;
 import cypressglade.core.Scheduler.Outcome;
 import cypressglade.core.Scheduler.Request;
 import cypressglade.core.Scheduler.Status;
+import cypressglade.core.SchedulingPolicy;
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -63,7 +63,8 @@
         try {
             heads.put(
                     head,
-                    new Brain(clock, SettingsParser.parseLines(seed, settings), writer.of(head)));
+                    new SchedulingPolicy(
+                            clock, SettingsParser.parseLines(seed, settings), writer.of(head)));
         } catch (ConfigException bad) {
             throw new WireException(bad.getMessage());
         }
@@ -77,43 +78,43 @@
 
     @Override
     public void nodes(int head, ListKind kind, List<NodeEntry> entries) throws WireException {
-        head(head).nodes(clock, kind, entries);
+        head(head).updateNodes(clock, kind, entries);
     }
 
     @Override
     public void request(int head, Request request) throws WireException {
-        head(head).request(clock, request);
+        head(head).handleRequest(clock, request);
     }
 
     @Override
     public void outcome(int head, Outcome outcome) throws WireException {
-        head(head).outcome(clock, outcome);
+        head(head).handleOutcome(clock, outcome);
     }
 
     @Override
     public void withdrawn(int head, long requestId) throws WireException {
-        head(head).withdrawn(clock, requestId);
+        head(head).handleWithdrawal(clock, requestId);
     }
 
     @Override
     public void message(int head, long fromRank, byte[] text) throws WireException {
-        head(head).message(clock, fromRank, text);
+        head(head).handlePeerMessage(clock, fromRank, text);
     }
 
     @Override
     public void streamStarted(int head, long requestId, int attempt, long node, long latencyUs)
             throws WireException {
-        head(head).streamStarted(clock, requestId, attempt, node, latencyUs);
+        head(head).handleStreamStart(clock, requestId, attempt, node, latencyUs);
     }
 
     @Override
     public void probed(int head, long node, Status status, long latencyUs, float[] load)
             throws WireException {
-        head(head).probed(clock, node, status, latencyUs, load);
+        head(head).handleProbe(clock, node, status, latencyUs, load);
     }
 
     @Override
     public void timer(int head, long token) throws WireException {
-        head(head).timer(clock, token);
+        head(head).handleTimer(clock, token);
     }
 }
--- a/src/main/java/cypressglade/adapter/FrameWriter.java
+++ b/src/main/java/cypressglade/adapter/FrameWriter.java
@@ -80,12 +80,12 @@
         }
 
         @Override
-        public void timer(long delayUs, long token) {
+        public void startTimer(long delayUs, long token) {
             begin(20, head, 8).putInt((int) delayUs).putInt((int) token);
         }
 
         @Override
-        public void tell(long toRank, byte[] text) {
+        public void sendToPeer(long toRank, byte[] text) {
             begin(23, head, 6 + text.length)
                     .putInt((int) toRank)
                     .putShort((short) text.length)
@@ -93,7 +93,7 @@
         }
 
         @Override
-        public void watch(boolean on) {
+        public void watchNodeList(boolean on) {
             begin(26, head, 1).put((byte) (on ? 1 : 0));
         }
     }
--- a/src/main/java/cypressglade/cli/InForce.java
+++ b/src/main/java/cypressglade/cli/InForce.java
@@ -32,7 +32,7 @@
             values.put(
                     "class " + type.name(),
                     "aim "
-                            + millis(type.aimUs())
+                            + millis(type.targetLatencyUs())
                             + ", deadline "
                             + millis(type.deadlineUs())
                             + ", worth "
@@ -57,17 +57,17 @@
                 "schedulers",
                 (config.settings().rank() + 1)
                         + " of "
-                        + config.settings().heads()
+                        + config.settings().instances()
                         + ", unless peers tell of more");
-        values.put("attempts", Integer.toString(limits.attempts()));
+        values.put("attempts", Integer.toString(limits.maxAttempts()));
         values.put(
                 "retry_after",
-                limits.retryAfter() ? "up to " + millis(limits.maxRetryAfterUs()) : "not told");
+                limits.mayAdviseRetry() ? "up to " + millis(limits.maxRetryAfterUs()) : "not told");
         values.put(
                 "cold nodes",
-                limits.youngUnits()
+                limits.coldNodeUnits()
                         + " units in "
-                        + millis(limits.fallUs())
+                        + millis(limits.overloadWindowUs())
                         + " at first, a ramp of "
                         + millis(limits.rampUs()));
         return values;
--- a/src/main/java/cypressglade/cli/Rehearsal.java
+++ b/src/main/java/cypressglade/cli/Rehearsal.java
@@ -86,9 +86,12 @@
      */
     static int requests(Settings settings, int nodes) {
         double tightest =
-                settings.classes().stream().mapToLong(RequestClass::aimUs).min().orElse(1);
+                settings.classes().stream()
+                        .mapToLong(RequestClass::targetLatencyUs)
+                        .min()
+                        .orElse(1);
         double aims = (double) Micros.of(Duration.ofSeconds(1)) / Math.max(1, tightest);
-        double beyond = nodes * IN_AIM / settings.heads() * aims - BEARABLE;
+        double beyond = nodes * IN_AIM / settings.instances() * aims - BEARABLE;
         return (int) Math.max(LEAST_REQUESTS, Math.min(MOST_REQUESTS, beyond * SECONDS));
     }
 
--- a/src/main/java/cypressglade/config/Config.java
+++ b/src/main/java/cypressglade/config/Config.java
@@ -164,7 +164,7 @@
      * simulator's wire may leave them out; a file may not.
      */
     private static void whole(Values values, Settings parsed) throws ConfigException {
-        if (parsed.limits().attempts() <= 0) {
+        if (parsed.limits().maxAttempts() <= 0) {
             throw values.bad("settings.limits.attemptsCap", "must be there and above 0");
         }
         for (int i = 0; i < parsed.classes().size(); i++) {
@@ -173,7 +173,7 @@
             if (type.name().isBlank()) {
                 throw values.bad(at + "name", "must be there");
             }
-            if (type.deadlineUs() <= 0 || type.aimUs() <= 0) {
+            if (type.deadlineUs() <= 0 || type.targetLatencyUs() <= 0) {
                 throw values.bad(
                         at + (type.deadlineUs() <= 0 ? "deadlineUs" : "objectiveUs"),
                         "must be there and above 0");
--- a/src/main/java/cypressglade/control/Control.java
+++ b/src/main/java/cypressglade/control/Control.java
@@ -4,7 +4,7 @@
 import cypressglade.core.Counters;
 import cypressglade.core.Engine;
 import cypressglade.core.NodeFact;
-import cypressglade.core.Scheduler.Load;
+import cypressglade.core.Scheduler;
 import cypressglade.core.Scheduler.Reason;
 import cypressglade.core.Time;
 import cypressglade.member.Member;
@@ -105,7 +105,7 @@
         engine.look((nodes, load) -> server.post(() -> seen.accept(picture(nodes, load))));
     }
 
-    private Picture picture(List<NodeFact> nodes, Load load) {
+    private Picture picture(List<NodeFact> nodes, Scheduler.QueueView load) {
         return new Picture(Time.now(), nodes, classes.get(), load, drains.list());
     }
 
@@ -242,12 +242,12 @@
         }
         out.writeEndArray();
         out.writeArrayFieldStart("queues");
-        for (int i = 0; i < picture.load().held().length; i++) {
+        for (int i = 0; i < picture.load().queued().length; i++) {
             out.writeStartObject();
             out.writeStringField(
                     "class", i < picture.classes().size() ? picture.classes().get(i) : "?");
-            out.writeNumberField("held", picture.load().held()[i]);
-            out.writeNumberField("oldest_ms", picture.load().oldestUs()[i] / 1000);
+            out.writeNumberField("held", picture.load().queued()[i]);
+            out.writeNumberField("oldest_ms", picture.load().oldestWaitUs()[i] / 1000);
             out.writeEndObject();
         }
         out.writeEndArray();
@@ -255,7 +255,7 @@
         for (Reason reason : Reason.values()) {
             out.writeNumberField(
                     reason.name().toLowerCase(Locale.ROOT),
-                    picture.load().givenUp()[reason.ordinal()]);
+                    picture.load().unserved()[reason.ordinal()]);
         }
         out.writeEndObject();
         out.writeObjectFieldStart("counters");
@@ -295,18 +295,18 @@
                                 ? "draining"
                                 : fact.view().silent()
                                         ? "silent"
-                                        : fact.view().coldRoom() < Double.MAX_VALUE
+                                        : fact.view().coldCapacityUnits() < Double.MAX_VALUE
                                                 ? "cold"
                                                 : "ready");
-        out.writeNumberField("us_a_unit", Math.round(fact.view().paceUs()));
-        out.writeNumberField("units_out", fact.view().outUnits());
-        out.writeNumberField("bound", Math.max(0, fact.view().boundUnits()));
-        out.writeNumberField("held", fact.view().held());
+        out.writeNumberField("us_a_unit", Math.round(fact.view().serviceTimePerUnitUs()));
+        out.writeNumberField("units_out", fact.view().inFlightUnits());
+        out.writeNumberField("bound", Math.max(0, fact.view().maxInFlightUnits()));
+        out.writeNumberField("held", fact.view().queued());
         out.writeNumberField("answers", fact.view().answers());
         out.writeNumberField(
                 "answered_ago_ms",
                 fact.view().answeredAgoUs() < 0 ? -1 : fact.view().answeredAgoUs() / 1000);
-        out.writeBooleanField("hearsay", fact.view().guarded());
+        out.writeBooleanField("hearsay", fact.view().unconfirmed());
         out.writeEndObject();
     }
 
--- a/src/main/java/cypressglade/core/Asked.java
+++ b/src/main/java/cypressglade/core/Asked.java
@@ -69,7 +69,7 @@
     }
 
     static boolean cold(NodeView view) {
-        return view.ready() && view.coldRoom() < Double.MAX_VALUE;
+        return view.ready() && view.coldCapacityUnits() < Double.MAX_VALUE;
     }
 
     static ColdNode node(NodeFact fact) {
--- a/src/main/java/cypressglade/core/Engine.java
+++ b/src/main/java/cypressglade/core/Engine.java
@@ -4,7 +4,6 @@
 import cypressglade.core.NodeLink.Told;
 import cypressglade.core.Scheduler.Actions;
 import cypressglade.core.Scheduler.Hint;
-import cypressglade.core.Scheduler.Load;
 import cypressglade.core.Scheduler.Outcome;
 import cypressglade.core.Scheduler.Settings;
 import cypressglade.core.Scheduler.Status;
@@ -64,7 +63,7 @@
     private record Share(int rank, int heads) {
         /** Never a larger part than the settings give: on a limit the careful figure holds. */
         Settings of(Settings told) {
-            return heads <= told.heads() ? told : told.among(rank, heads);
+            return heads <= told.instances() ? told : told.forInstance(rank, heads);
         }
     }
 
@@ -92,7 +91,7 @@
             long latency = Micros.of(Duration.between(sent, Time.now()));
             post(
                     () ->
-                            scheduler.probed(
+                            scheduler.handleProbe(
                                     now(), node, ending.status(), latency, ending.told().load()));
         }
     }
@@ -107,10 +106,10 @@
         this.directory = directory;
         this.counters = counters;
         this.settings = settings;
-        this.coldSpan = Micros.span(settings.limits().fallUs());
+        this.coldSpan = Micros.span(settings.limits().overloadWindowUs());
         this.storms = storms;
         this.gate = storms.map(terms -> new Gate(terms, settings, coldSpan, counters, Time.now()));
-        this.scheduler = new Brain(now(), settings, new Orders());
+        this.scheduler = new SchedulingPolicy(now(), settings, new Orders());
         thread.setDaemon(true);
     }
 
@@ -148,7 +147,7 @@
                 () -> {
                     settings = next;
                     gate.ifPresent(kept -> kept.use(next));
-                    scheduler.use(inForce());
+                    scheduler.applySettings(inForce());
                 });
     }
 
@@ -157,7 +156,7 @@
         post(
                 () -> {
                     share = new Share(rank, heads);
-                    scheduler.use(inForce());
+                    scheduler.applySettings(inForce());
                 });
     }
 
@@ -171,7 +170,7 @@
                 () -> {
                     if (beside != Math.max(1, processes)) {
                         beside = Math.max(1, processes);
-                        scheduler.use(inForce());
+                        scheduler.applySettings(inForce());
                         grant();
                     }
                 });
@@ -179,7 +178,7 @@
 
     /** What was asked of this instance since the last call, handed over on the engine's thread. */
     public void demand(Consumer<Asked.Demand> seen) {
-        post(() -> seen.accept(asked.take(directory.facts(scheduler.views(now())))));
+        post(() -> seen.accept(asked.take(directory.facts(scheduler.nodeViews(now())))));
     }
 
     /** Takes the parts that hold from now on, in place of even ones. */
@@ -197,18 +196,18 @@
 
     private void divide(Granted held) {
         Map<Long, Double> cold = new HashMap<>();
-        directory.facts(scheduler.views(now())).stream()
+        directory.facts(scheduler.nodeViews(now())).stream()
                 .filter(fact -> Asked.cold(fact.view()))
                 .forEach(fact -> cold.put(fact.view().node(), coldPart(held, fact)));
-        scheduler.parts(
+        scheduler.applyLimitShares(
                 now(),
-                new Scheduler.Parts(
+                new Scheduler.LimitShares(
                                 held.volumes(),
                                 cold,
                                 held.rest(),
                                 held.least(),
                                 Micros.of(held.until()))
-                        .among(beside));
+                        .dividedAmong(beside));
     }
 
     private static double coldPart(Granted held, NodeFact fact) {
@@ -223,7 +222,9 @@
     private Settings inForce() {
         Settings shared =
                 saving ? Gate.budget(share.of(settings), storms.orElseThrow()) : share.of(settings);
-        return beside == 1 ? shared : shared.among(shared.rank(), shared.heads() * beside);
+        return beside == 1
+                ? shared
+                : shared.forInstance(shared.rank(), shared.instances() * beside);
     }
 
     /**
@@ -231,12 +232,16 @@
      * them.
      */
     public void views(Consumer<List<NodeFact>> seen) {
-        post(() -> seen.accept(directory.facts(scheduler.views(now()))));
+        post(() -> seen.accept(directory.facts(scheduler.nodeViews(now()))));
     }
 
     /** What is known of the nodes and what is held, of one moment; as {@link #views}. */
-    public void look(BiConsumer<List<NodeFact>, Load> seen) {
-        post(() -> seen.accept(directory.all(scheduler.views(now())), scheduler.load(now())));
+    public void look(BiConsumer<List<NodeFact>, Scheduler.QueueView> seen) {
+        post(
+                () ->
+                        seen.accept(
+                                directory.all(scheduler.nodeViews(now())),
+                                scheduler.queueView(now())));
     }
 
     /**
@@ -244,7 +249,11 @@
      * kept.
      */
     public void hint(String id, LongFunction<Hint> hint) {
-        post(() -> directory.number(id).ifPresent(node -> scheduler.hint(now(), hint.apply(node))));
+        post(
+                () ->
+                        directory
+                                .number(id)
+                                .ifPresent(node -> scheduler.handleHint(now(), hint.apply(node))));
     }
 
     /** Takes in what discovery told; it counts for the links at once. */
@@ -252,7 +261,7 @@
         var entries = directory.update(list);
         post(
                 () -> {
-                    scheduler.nodes(now(), NodeDirectory.kind(list), entries);
+                    scheduler.updateNodes(now(), NodeDirectory.kind(list), entries);
                     grant(); // a node that has come back is another cold one
                     counters.add(
                             Counters.Name
@@ -271,7 +280,7 @@
                     open.put(life.id, life);
                     Scheduler.Request taken = request.toModule(life.id, beside);
                     asked.add(taken, limited(taken));
-                    scheduler.request(now(), taken);
+                    scheduler.handleRequest(now(), taken);
                 });
     }
 
@@ -280,7 +289,7 @@
         boolean next = gate.filter(Gate::saving).isPresent();
         if (next != saving) {
             saving = next;
-            scheduler.use(inForce());
+            scheduler.applySettings(inForce());
         }
     }
 
@@ -314,7 +323,7 @@
                             gate.ifPresent(kept -> kept.neverRan(life));
                         }
                     }
-                    scheduler.outcome(
+                    scheduler.handleOutcome(
                             now(),
                             new Outcome(
                                     life.id,
@@ -347,9 +356,9 @@
                 () -> {
                     open.remove(life.id);
                     gate.ifPresent(kept -> kept.givenUp(life, attemptOut, Time.now()));
-                    scheduler.withdrawn(now(), life.id);
+                    scheduler.handleWithdrawal(now(), life.id);
                     if (!attemptOut && life.ordered > life.ended) {
-                        scheduler.outcome(
+                        scheduler.handleOutcome(
                                 now(),
                                 new Outcome(
                                         life.id,
@@ -385,11 +394,11 @@
                     event.get().run();
                 }
                 while (!timers.isEmpty() && Time.until(timers.peek().due()).isZero()) {
-                    scheduler.timer(now(), timers.poll().token());
+                    scheduler.handleTimer(now(), timers.poll().token());
                 }
                 if (gate.isPresent() && Time.until(gateLook).isZero()) {
                     gateLook = Time.now().plus(GATE_LOOK);
-                    gate.get().look(scheduler.views(now()), Time.now());
+                    gate.get().look(scheduler.nodeViews(now()), Time.now());
                     save();
                 }
             } catch (InterruptedException end) {
@@ -449,17 +458,17 @@
         }
 
         @Override
-        public void timer(long delayUs, long token) {
+        public void startTimer(long delayUs, long token) {
             timers.add(new Timer(Time.now().plus(Micros.span(delayUs)), ++lastTimer, token));
         }
 
         @Override
-        public void tell(long toRank, byte[] text) {
+        public void sendToPeer(long toRank, byte[] text) {
             throw new UnsupportedOperationException("schedulers have no way to talk to each other");
         }
 
         @Override
-        public void watch(boolean on) {
+        public void watchNodeList(boolean on) {
             // Discovery is always watched.
         }
 
--- a/src/main/java/cypressglade/core/Gate.java
+++ b/src/main/java/cypressglade/core/Gate.java
@@ -47,7 +47,7 @@
     void use(Settings next) {
         settings = next;
         storms.longest(
-                next.limits().retryAfter()
+                next.limits().mayAdviseRetry()
                         ? Micros.span(next.limits().maxRetryAfterUs())
                         : Duration.ZERO);
     }
@@ -59,7 +59,7 @@
 
     /** The settings with a budget of further attempts, where they have no smaller one. */
     static Settings budget(Settings told, Terms terms) {
-        return told.within(FREE_RESENDS, terms.secondTries(), Micros.of(BUDGET_WINDOW));
+        return told.withAttemptBudget(FREE_RESENDS, terms.secondTries(), Micros.of(BUDGET_WINDOW));
     }
 
     /** Whether the module is not asked, as the request has its answer already. */
@@ -153,10 +153,13 @@
         for (NodeView view : views) {
             if (view.ready() && !view.silent()) {
                 double bears =
-                        view.coldRoom() == Double.MAX_VALUE
+                        view.coldCapacityUnits() == Double.MAX_VALUE
                                 ? Double.POSITIVE_INFINITY
-                                : view.coldRoom() / Math.max(coldSpan.toNanos() / 1e9, 1e-3);
-                speeds.put(view.shard(), new Speed(US / view.paceUs() / settings.heads(), bears));
+                                : view.coldCapacityUnits()
+                                        / Math.max(coldSpan.toNanos() / 1e9, 1e-3);
+                speeds.put(
+                        view.shard(),
+                        new Speed(US / view.serviceTimePerUnitUs() / settings.instances(), bears));
             }
         }
         storms.speeds(speeds);
--- a/src/main/java/cypressglade/core/Held.java
+++ b/src/main/java/cypressglade/core/PendingRequest.java
@@ -6,28 +6,28 @@
 import java.util.List;
 
 /** A request that this head took and that is not over, or has an attempt out. */
-final class Held {
+final class PendingRequest {
     // Step in which ends of patience are compared.
     private static final long SAME_TRY_US = 5_000;
 
     final Request request;
     final long arrived;
     final long expiry;
-    final List<Sent> sent = new ArrayList<>(1);
+    final List<SentAttempt> sent = new ArrayList<>(1);
     RequestClass type;
-    Volume volume;
-    Node node;
+    TrackedVolume volume;
+    TrackedNode node;
     long firstTry, aim, due, parkedAt, firstSent;
     double work, worth, reserved;
     int pushed, outstanding;
     boolean asked, background, ordered, mayHaveRun, over;
 
-    Held(long now, Request request) {
+    PendingRequest(long now, Request request) {
         this.request = request;
         arrived = now;
         firstTry = now;
         work = request.units();
-        expiry = now + request.leftUs();
+        expiry = now + request.remainingUs();
     }
 
     /** Tells tries of one client apart from all others; steps of the end of patience apart. */
--- a/src/main/java/cypressglade/core/Scheduler.java
+++ b/src/main/java/cypressglade/core/Scheduler.java
@@ -5,137 +5,157 @@
 import java.util.stream.Collectors;
 
 /**
- * What a host tells the scheduler and what the scheduler orders. One instance serves one host
- * (head); events carry the host's clock in microseconds, which only goes forward. Every decision is
- * made in {@link Brain}.
+ * The events that an instance's scheduling policy handles, and the actions that it orders. One
+ * object serves one instance: one scheduler among those that serve the same nodes. It belongs to
+ * one thread. Events carry the instance's clock in microseconds, which never goes back. Every
+ * decision is made in {@link SchedulingPolicy}.
  */
 public interface Scheduler {
 
     /**
-     * Settings that hold from now on; classes and plans are told by their place in the latest ones.
+     * Replaces the settings. Requests refer to classes and plans by their index in the latest ones.
      */
-    void use(Settings settings);
+    void applySettings(Settings settings);
 
-    /** The node list, or a change to it. */
-    void nodes(long nowUs, ListKind kind, List<NodeEntry> entries);
+    /** Handles the node list, or a change to it. */
+    void updateNodes(long nowUs, ListKind kind, List<NodeEntry> entries);
 
-    /** A client's request, which is owed exactly one final answer. */
-    void request(long nowUs, Request request);
+    /** Handles a client's request, which must get exactly one final answer. */
+    void handleRequest(long nowUs, Request request);
 
-    /** How one attempt ended. */
-    void outcome(long nowUs, Outcome outcome);
+    /** Handles the end of one attempt. */
+    void handleOutcome(long nowUs, Outcome outcome);
 
-    /** A streamed answer has begun: the attempt belongs to the client from now on. */
-    void streamStarted(long nowUs, long requestId, int attempt, long node, long latencyUs);
+    /** Handles the start of a streamed answer; the attempt belongs to the client from now on. */
+    void handleStreamStart(long nowUs, long requestId, int attempt, long node, long latencyUs);
 
-    /** The request is over and nothing is owed for it. */
-    void withdrawn(long nowUs, long requestId);
+    /** Handles the withdrawal of a request, which needs no answer any more. */
+    void handleWithdrawal(long nowUs, long requestId);
 
     /**
-     * What a probe found; {@code load} holds the values of {@link Settings#loadNames}, or nothing.
+     * Handles the end of a probe.
+     *
+     * @param load the values of {@link Settings#loadNames} in their order, or empty
      */
-    void probed(long nowUs, long node, Status status, long latencyUs, float[] load);
+    void handleProbe(long nowUs, long node, Status status, long latencyUs, float[] load);
 
     /**
-     * What others know of a node; counts only where this instance has seen nothing of the node
-     * lately.
+     * Handles other instances' observations of a node. They count only where this instance has seen
+     * no sign of life of the node lately.
      */
-    void hint(long nowUs, Hint hint);
+    void handleHint(long nowUs, Hint hint);
 
-    /** This head's parts of what all heads share, from now on, in place of even ones. */
-    void parts(long nowUs, Parts parts);
+    /** Replaces this instance's shares of the limits that all instances keep together. */
+    void applyLimitShares(long nowUs, LimitShares limitShares);
 
-    /** What is known of each node. */
-    List<NodeView> views(long nowUs);
+    /** Returns what is known of each node. */
+    List<NodeView> nodeViews(long nowUs);
 
-    /** Work that is held, and what was given up since the start. */
-    Load load(long nowUs);
+    /** Returns the requests that wait, and how many were not served since the start. */
+    QueueView queueView(long nowUs);
 
     /**
-     * A message of another head of the tier. Nothing is made of it by default: heads tell each
-     * other nothing, as lending what is spare of a limit brought nothing (docs/design.md).
+     * Handles a message of another instance. Ignored by default: instances exchange no messages, as
+     * lending the unused part of a limit brought no gain (docs/design.md).
      */
-    default void message(long nowUs, long fromRank, byte[] text) {
+    default void handlePeerMessage(long nowUs, long fromRank, byte[] text) {
         // deliberately empty; see above
     }
 
-    /** A timer of this instance is due. */
-    void timer(long nowUs, long token);
+    /** Handles a due timer of this instance. */
+    void handleTimer(long nowUs, long token);
 
-    /**
-     * What the scheduler may order; each call takes effect at the time of the event being handled.
-     */
+    /** The actions that a scheduler orders; each takes effect at the time of the handled event. */
     interface Actions {
-        /** Sends the next attempt of a request; time-out 0 means until the client stops waiting. */
+        /**
+         * Sends the next attempt of a request.
+         *
+         * @param timeoutUs 0: until the client stops waiting
+         */
         void send(long requestId, long node, long timeoutUs);
 
         /**
-         * Final answer: not done, harmless to try again, best after the given time (0: no advice).
+         * Gives the final answer that the request was not done and may be sent again.
+         *
+         * @param retryAfterUs the advised time until then; 0: no advice
          */
         void refuse(long requestId, long retryAfterUs);
 
-        /** Final answer: failed, with no promise about effects. */
+        /** Gives the final answer that the request failed and may have had effects. */
         void fail(long requestId);
 
+        /** Cancels an attempt, by its index among those of the request. */
         void cancel(long requestId, int attempt);
 
+        /** Sends a probe to a node; {@link Scheduler#handleProbe} reports its end. */
         void probe(long node);
 
-        void timer(long delayUs, long token);
+        /** Starts a timer, which {@link Scheduler#handleTimer} reports with the same token. */
+        void startTimer(long delayUs, long token);
 
         /**
-         * Sends at most 256 bytes to one head, or to all others with {@link Scheduler#EVERY_PEER}.
+         * Sends at most 256 bytes to one instance, or to all others with {@link
+         * Scheduler#EVERY_PEER}.
          */
-        void tell(long toRank, byte[] text);
+        void sendToPeer(long toRank, byte[] text);
 
-        /** Asks for changes of the node list from now on, or stops them. */
-        void watch(boolean on);
+        /** Subscribes to changes of the node list from now on, or ends the subscription. */
+        void watchNodeList(boolean on);
     }
 
-    /** Address of every other head in {@link Actions#tell}. */
+    /** Address of every other instance in {@link Actions#sendToPeer}. */
     long EVERY_PEER = 0xFFFFFFFFL;
 
     /** Shard of a new object, which any node can take. */
     int ANY_SHARD = -1;
 
+    /** What a node list holds. */
     enum ListKind {
+        /** Changes since the last list. */
         DELTA,
+        /** All nodes. */
         FULL,
+        /** All nodes, as of an earlier time. */
         CACHED,
+        /** Nothing: the list that was asked for could not be had. */
         FAILED
     }
 
+    /** State of a node in a list; only a ready one takes requests. */
     enum State {
         GONE,
         READY,
         DRAINING
     }
 
+    /** Whether a request may run more than once: always, by its key, or never. */
     enum Effect {
         SAFE,
         KEYED,
         UNSAFE
     }
 
-    /** Which nodes drop the repeats of a keyed request. */
+    /** The nodes among which repeats of a keyed request are dropped: all, a zone's, a shard's. */
     enum Scope {
         ALL,
         ZONE,
         CELL
     }
 
-    /** Outcome of an attempt or a probe; the flag tells whether the work may have run. */
+    /** Outcome of an attempt or a probe. */
     enum Status {
         OK(true),
         ERROR(true),
+        /** The node refused the request before it ran, for lack of room. */
         FULL(false),
         TIMEOUT(true),
         CONNECT_FAILED(false),
         RESET(true),
         CANCELLED(true),
+        /** Not sent because no longer needed. */
         MOOT(false);
 
-        /** False where the outcome proves that the work never ran. */
+        /** False where the outcome proves that the request never ran. */
         public final boolean mayHaveRun;
 
         Status(boolean mayHaveRun) {
@@ -143,29 +163,51 @@
         }
     }
 
-    /** One node in a list; {@code startedUs} 0 means long ago. */
+    /**
+     * One node in a list.
+     *
+     * @param node the number that stands for the node in all events and actions
+     * @param shard the shard that the node serves
+     * @param size relative size of the node, as listed
+     * @param startedUs the start of its present generation; 0: long ago
+     * @param kind index of the kind of node, as listed
+     */
     record NodeEntry(
             long node, int zone, State state, int shard, float size, long startedUs, int kind) {}
 
     /**
-     * A request as it arrives; {@code leftUs} is the time until the client gives up on this try.
+     * A request as it arrives.
+     *
+     * @param shard the shard that holds its data, or {@link #ANY_SHARD}
+     * @param requestClass index into {@link Settings#classes}
+     * @param plan index into {@link Settings#plans}
+     * @param instances how many instances serve requests of the volume; 1 at least
+     * @param retry whether the client says that it sent the same request before
+     * @param key the data that it touches; 0: not told
+     * @param units its cost, in cost units
+     * @param remainingUs time until the client gives up on it
      */
     record Request(
             long id,
             int shard,
             int requestClass,
             int plan,
-            int heads,
-            boolean repeat,
+            int instances,
+            boolean retry,
             boolean write,
             long volume,
             long key,
             float units,
-            long leftUs) {}
+            long remainingUs) {}
 
     /**
-     * End of an attempt. {@code used} is 1 + the volume's served units in percent of its rate (0:
-     * not told), {@code byOthers} the units the shard served it through other heads.
+     * End of an attempt.
+     *
+     * @param attempt index among the attempts of the request, from 0
+     * @param requestDone whether the request ends with it
+     * @param volumeUse 1 + the volume's served units in percent of its base rate; 0: not reported
+     * @param unitsByOthers units that the shard served for the volume through other instances
+     * @param load as in {@link #handleProbe}
      */
     record Outcome(
             long requestId,
@@ -173,51 +215,69 @@
             long node,
             Status status,
             long latencyUs,
-            boolean over,
-            int used,
-            int byOthers,
+            boolean requestDone,
+            int volumeUse,
+            int unitsByOthers,
             float[] load) {}
 
     /**
-     * Hearsay on a node: microseconds a unit, microseconds that others' load adds to an answer,
-     * share of their aim that answers take, share of answers in error, whether nothing comes back,
-     * and the latest start (0: long ago).
+     * What other instances observed of a node.
+     *
+     * @param serviceTimePerUnitUs microseconds that the node takes for one unit
+     * @param backlogUs microseconds that the load of others adds to an answer
+     * @param latencyRatio time that answers take, as a fraction of their target latency
+     * @param errorRatio fraction of answers in error, 0 to 1
+     * @param silent whether nothing comes back from the node
+     * @param startedUs the latest start that was observed; 0: long ago
      */
     record Hint(
             long node,
-            double paceUs,
+            double serviceTimePerUnitUs,
             double backlogUs,
-            double strain,
-            double errors,
+            double latencyRatio,
+            double errorRatio,
             boolean silent,
             long startedUs) {}
 
     /**
-     * A node as the module sees it. {@code guarded} tells that all of it is hearsay; {@code
-     * answeredAgoUs} and {@code seenAgoUs} are -1 where no answer, and no sign of life, came yet;
-     * {@code coldRoom} is what may still be sent to a cold node, {@code Double.MAX_VALUE} to a warm
-     * one.
+     * What the policy knows of a node.
+     *
+     * @param unconfirmed whether all of it comes from other instances
+     * @param silent whether nothing comes back from the node
+     * @param startedUs the start of its generation, as listed; 0: long ago
+     * @param serviceTimePerUnitUs microseconds that the node takes for one unit
+     * @param backlogUs microseconds that the load of others adds to an answer
+     * @param latencyRatio time that answers take, as a fraction of their target latency
+     * @param errorRatio fraction of answers in error, 0 to 1
+     * @param answers how many answers the estimates come from
+     * @param answeredAgoUs time since the last answer; -1: none yet
+     * @param seenAgoUs time since the last sign of life; -1: none yet
+     * @param inFlightUnits units of the attempts that are in flight at the node
+     * @param maxInFlightUnits the bound on them; may be below 0
+     * @param queued requests that wait in the node's queue
+     * @param coldCapacityUnits units that may still be sent to a cold node in this window; {@code
+     *     Double.MAX_VALUE} for a warm one
      */
     record NodeView(
             long node,
             int shard,
             boolean ready,
-            boolean guarded,
+            boolean unconfirmed,
             boolean silent,
             long startedUs,
-            double paceUs,
+            double serviceTimePerUnitUs,
             double backlogUs,
-            double strain,
-            double errors,
+            double latencyRatio,
+            double errorRatio,
             int answers,
             long answeredAgoUs,
             long seenAgoUs,
-            double outUnits,
-            double boundUnits,
-            int held,
-            double coldRoom) {
+            double inFlightUnits,
+            double maxInFlightUnits,
+            int queued,
+            double coldCapacityUnits) {
 
-        /** Of a node that the module keeps nothing of, and sends nothing to. */
+        /** View of a node of which the policy knows nothing and to which it sends nothing. */
         static NodeView unknown(long node, int shard) {
             return new NodeView(
                     node,
@@ -241,88 +301,127 @@
     }
 
     /**
-     * This head's parts of limits of volumes and of what cold nodes bear, 0 to 1: by volume, by
-     * node, {@code rest} for volumes that are not named, and {@code least} for other nodes, and for
-     * all from {@code untilUs} on, as word of a later time is lacking then.
+     * This instance's shares of volumes' limits and of what may be sent to cold nodes, each 0 to 1.
+     *
+     * @param volumeShares by volume
+     * @param nodeShares by node
+     * @param otherVolumesShare of volumes that are not named
+     * @param minShare of nodes that are not named, and of all volumes and nodes from {@code
+     *     validUntilUs} on, as no report of a later time has come by then
      */
-    record Parts(
-            Map<Long, Double> volumes,
-            Map<Long, Double> nodes,
-            double rest,
-            double least,
-            long untilUs) {
-        /** Nothing is shared: the even part that the module reckons itself holds. */
-        public static final Parts EVEN = new Parts(Map.of(), Map.of(), 0, 0, 0);
+    record LimitShares(
+            Map<Long, Double> volumeShares,
+            Map<Long, Double> nodeShares,
+            double otherVolumesShare,
+            double minShare,
+            long validUntilUs) {
+        /** Nothing is allotted: each instance takes the even share that the policy computes. */
+        public static final LimitShares EVEN = new LimitShares(Map.of(), Map.of(), 0, 0, 0);
 
         /**
-         * A part of a volume's limit as that of one of so many heads; {@code even} where none is
-         * shared.
+         * Returns what a volume's limit is to be divided by to get this instance's share of it.
+         *
+         * @param even the divisor where nothing is allotted
          */
-        double volumeHeads(long nowUs, long volume, int even) {
-            return heads(volumes, nowUs, volume, even, rest);
+        double volumeDivisor(long nowUs, long volume, int even) {
+            return divisor(volumeShares, nowUs, volume, even, otherVolumesShare);
         }
 
-        /** The same of what a cold node bears. */
-        double nodeHeads(long nowUs, long node, int even) {
-            return heads(nodes, nowUs, node, even, least);
+        /** The same for what may be sent to a cold node. */
+        double nodeDivisor(long nowUs, long node, int even) {
+            return divisor(nodeShares, nowUs, node, even, minShare);
         }
 
-        /** Of what is not known yet: whatever others have spent, so much is this head's. */
-        double leastHeads(int even) {
-            return this == EVEN ? even : 1 / least;
+        /**
+         * Returns the divisor for what is not known yet: this instance may always take its smallest
+         * share, whatever the others have spent.
+         */
+        double maxDivisor(int even) {
+            return this == EVEN ? even : 1 / minShare;
         }
 
-        private double heads(Map<Long, Double> told, long nowUs, long key, int even, double other) {
+        private double divisor(
+                Map<Long, Double> shares, long nowUs, long key, int even, double other) {
             return this == EVEN
                     ? even
-                    : 1 / (nowUs >= untilUs ? least : told.getOrDefault(key, other));
+                    : 1 / (nowUs >= validUntilUs ? minShare : shares.getOrDefault(key, other));
         }
 
-        /** The same where so many processes stand for this head, each of which takes as much. */
-        Parts among(int processes) {
+        /**
+         * Returns the shares of one process, where so many serve as this instance and each takes as
+         * much.
+         */
+        LimitShares dividedAmong(int processes) {
             return this == EVEN || processes == 1
                     ? this
-                    : new Parts(
-                            among(volumes, processes),
-                            among(nodes, processes),
-                            rest / processes,
-                            least / processes,
-                            untilUs);
+                    : new LimitShares(
+                            dividedAmong(volumeShares, processes),
+                            dividedAmong(nodeShares, processes),
+                            otherVolumesShare / processes,
+                            minShare / processes,
+                            validUntilUs);
         }
 
-        private static Map<Long, Double> among(Map<Long, Double> told, int processes) {
-            return told.entrySet().stream()
+        private static Map<Long, Double> dividedAmong(Map<Long, Double> shares, int processes) {
+            return shares.entrySet().stream()
                     .collect(
                             Collectors.toMap(
-                                    Map.Entry::getKey, part -> part.getValue() / processes));
+                                    Map.Entry::getKey, share -> share.getValue() / processes));
         }
     }
 
     /** Why a request got its final answer without being served. */
     enum Reason {
+        /** Its class or plan is not in the settings. */
         UNKNOWN,
+        /** No node serves its shard. */
         NO_NODE,
+        /** Its node is silent. */
         SILENT,
+        /** A retry that came too late to meet the target latency of the original request. */
         LATE_REPEAT,
+        /** Its node is cold and may get no more in this window. */
         COLD,
+        /** Its volume's limit leaves no room in time. */
         LIMIT,
+        /** It was predicted to come too late, or to delay others that are worth as much. */
         CROWDED,
+        /** The budget of further attempts was used up. */
         BUDGET,
+        /** While it waited, it became too late to serve it in time. */
         EXPIRED,
+        /** An attempt failed, and no further one was allowed or in time. */
         ATTEMPT_FAILED
     }
 
     /**
-     * By class: requests held, and the longest wait among them; by reason: requests given up so
-     * far.
+     * Requests that wait, and those that were not served.
+     *
+     * @param queued by class: how many wait
+     * @param oldestWaitUs by class: the longest wait among them
+     * @param unserved by {@link Reason}: how many were not served since the start
      */
-    record Load(int[] held, long[] oldestUs, long[] givenUp) {}
+    record QueueView(int[] queued, long[] oldestWaitUs, long[] unserved) {}
 
-    /** A class of requests; times in microseconds. */
+    /**
+     * A class of requests.
+     *
+     * @param targetLatencyUs time within which an answer earns the full worth
+     * @param targetLatencyStretch from the settings; the policy doesn't use it
+     * @param deadlineUs time after which an answer earns nothing
+     * @param worth what a unit served within the target latency earns
+     * @param lateWorth what one earns after it; the policy doesn't use it
+     * @param effect whether a request may run more than once
+     * @param scope the nodes among which repeats of a keyed request are dropped
+     * @param keyTtlUs how long nodes remember the key of a keyed request
+     * @param keepOrder whether requests with the same key run one after another
+     * @param streamed whether the answer is streamed; the policy doesn't use it
+     * @param write whether a request changes data
+     */
     record RequestClass(
             String name,
-            long aimUs,
-            double aimStretch,
+            long targetLatencyUs,
+            double targetLatencyStretch,
             long deadlineUs,
             double worth,
             double lateWorth,
@@ -333,7 +432,17 @@
             boolean streamed,
             boolean write) {}
 
-    /** A volume's plan; rates in units a second over all heads and nodes, limit 0 means none. */
+    /**
+     * A volume's plan. Rates are in units a second over all instances and nodes.
+     *
+     * @param baseRate the rate that reported use is a percentage of
+     * @param reserveRate the rate whose units earn their full worth
+     * @param weight the volume's weight among those that ask for more than their reserve
+     * @param worthFactor factor on the worth of the class
+     * @param limitRate the rate that may not be exceeded; 0: no limit
+     * @param limitBurst units that the limit lets pass at once after a pause
+     * @param limitSlack units by which the limit may be exceeded
+     */
     record Plan(
             String name,
             double baseRate,
@@ -345,41 +454,61 @@
             double limitSlack) {}
 
     /**
-     * What the rules and the site permit; an absent figure is 0 and an absent permission false.
-     * {@code streams} is how many attempts one connection carries at once.
+     * What the rules and the site permit. An absent number is 0 and an absent permission false.
+     *
+     * @param maxAttempts attempts of one request
+     * @param mayCancel whether attempts may be cancelled; the policy doesn't
+     * @param mayProbe whether nodes may be probed
+     * @param mayMessagePeers whether instances may exchange messages; the policy doesn't
+     * @param mayHedge whether a request may have two attempts in flight; the policy doesn't hedge
+     * @param mayAdviseRetry whether a refusal may advise when to send the request again
+     * @param maxRetryAfterUs the longest time that it may advise
+     * @param stopSendingWithinUs from the settings; the policy doesn't use it
+     * @param askWithinUs from the settings; the policy doesn't use it
+     * @param hasAttemptBudget whether attempts after the first of a request are limited
+     * @param freeFurtherAttempts such attempts that a budget window always allows
+     * @param furtherAttemptsRatio such attempts that it allows for each request in it
+     * @param budgetWindowUs length of the budget window
+     * @param coldSpeedFraction speed of a node at its start, as a fraction of its full speed
+     * @param rampUs time from a node's start until its full speed
+     * @param overloadFactor load at which a node fails, in multiples of its speed
+     * @param overloadWindowUs time over which that load is measured
+     * @param coldNodeUnits units that any node bears in that time at its start
+     * @param orderedKeyPauseUs pause of an ordered key after an attempt that may still run
+     * @param streamsPerConnection attempts that one connection carries at once
      */
     record Limits(
-            int attempts,
-            boolean cancel,
-            boolean probes,
-            boolean peers,
-            boolean secondCopies,
-            boolean retryAfter,
+            int maxAttempts,
+            boolean mayCancel,
+            boolean mayProbe,
+            boolean mayMessagePeers,
+            boolean mayHedge,
+            boolean mayAdviseRetry,
             long maxRetryAfterUs,
             long stopSendingWithinUs,
             long askWithinUs,
-            boolean budget,
-            double freeResends,
-            double furtherRatio,
+            boolean hasAttemptBudget,
+            double freeFurtherAttempts,
+            double furtherAttemptsRatio,
             long budgetWindowUs,
-            double coldFrom,
+            double coldSpeedFraction,
             long rampUs,
             double overloadFactor,
-            long fallUs,
-            double youngUnits,
-            long turnGapUs,
-            int streams) {
+            long overloadWindowUs,
+            double coldNodeUnits,
+            long orderedKeyPauseUs,
+            int streamsPerConnection) {
 
-        Limits within(double free, double ratio, long windowUs) {
-            return budget
+        Limits withAttemptBudget(double free, double ratio, long windowUs) {
+            return hasAttemptBudget
                     ? this
                     : new Limits(
-                            attempts,
-                            cancel,
-                            probes,
-                            peers,
-                            secondCopies,
-                            retryAfter,
+                            maxAttempts,
+                            mayCancel,
+                            mayProbe,
+                            mayMessagePeers,
+                            mayHedge,
+                            mayAdviseRetry,
                             maxRetryAfterUs,
                             stopSendingWithinUs,
                             askWithinUs,
@@ -387,24 +516,38 @@
                             free,
                             ratio,
                             windowUs,
-                            coldFrom,
+                            coldSpeedFraction,
                             rampUs,
                             overloadFactor,
-                            fallUs,
-                            youngUnits,
-                            turnGapUs,
-                            streams);
+                            overloadWindowUs,
+                            coldNodeUnits,
+                            orderedKeyPauseUs,
+                            streamsPerConnection);
         }
     }
 
     /**
-     * The settings given at start; {@code probePrice} is what a probe costs, in mean requests'
-     * worth.
+     * The settings of an instance.
+     *
+     * @param seed of the random choices in placing new objects
+     * @param rank this instance's number among all, from 0
+     * @param instances how many instances serve the same nodes; 1 at least
+     * @param listOnRequest whether the node list comes only after a subscription
+     * @param tickUs granularity of the instance's clock
+     * @param loadNames names of the values in a node's load report, in their order
+     * @param meanUnits mean cost of a request
+     * @param maxUnits cost of the largest request
+     * @param fairWorth worth of units beyond a volume's reserve, as a fraction of reserved ones
+     * @param spareWorth the same, at least, of a volume that asks for far more than the others
+     * @param meterPeriodUs period of the nodes' reports of use; the policy doesn't use it
+     * @param reportsOthersUnits whether answers report units served through other instances; the
+     *     policy doesn't use it
+     * @param probeCost what a probe costs, in mean requests; 0 or more
      */
     record Settings(
             long seed,
             int rank,
-            int heads,
+            int instances,
             int zone,
             boolean listOnRequest,
             long tickUs,
@@ -413,46 +556,48 @@
             List<String> loadNames,
             Limits limits,
             double meanUnits,
-            double mostUnits,
+            double maxUnits,
             double fairWorth,
             double spareWorth,
-            long meterUs,
-            boolean tellsOthers,
-            double probePrice) {
+            long meterPeriodUs,
+            boolean reportsOthersUnits,
+            double probeCost) {
+        /** Returns the names of the classes, in their order. */
         public List<String> classNames() {
             return classes.stream().map(RequestClass::name).toList();
         }
 
         /**
-         * The same with a budget of further attempts, of which what is there already is kept to.
+         * Returns these settings with a budget of further attempts; a budget that they already have
+         * stays.
          */
-        Settings within(double freeResends, double furtherRatio, long windowUs) {
+        Settings withAttemptBudget(double free, double ratio, long windowUs) {
             return new Settings(
                     seed,
                     rank,
-                    heads,
+                    instances,
                     zone,
                     listOnRequest,
                     tickUs,
                     classes,
                     plans,
                     loadNames,
-                    limits.within(freeResends, furtherRatio, windowUs),
+                    limits.withAttemptBudget(free, ratio, windowUs),
                     meanUnits,
-                    mostUnits,
+                    maxUnits,
                     fairWorth,
                     spareWorth,
-                    meterUs,
-                    tellsOthers,
-                    probePrice);
+                    meterPeriodUs,
+                    reportsOthersUnits,
+                    probeCost);
         }
 
-        /** The same for one instance of a tier of another size. */
-        public Settings among(int newRank, int newHeads) {
+        /** Returns these settings for one of another number of instances. */
+        public Settings forInstance(int newRank, int newInstances) {
             return new Settings(
                     seed,
                     newRank,
-                    newHeads,
+                    newInstances,
                     zone,
                     listOnRequest,
                     tickUs,
@@ -461,12 +606,12 @@
                     loadNames,
                     limits,
                     meanUnits,
-                    mostUnits,
+                    maxUnits,
                     fairWorth,
                     spareWorth,
-                    meterUs,
-                    tellsOthers,
-                    probePrice);
+                    meterPeriodUs,
+                    reportsOthersUnits,
+                    probeCost);
         }
     }
 }
--- a/src/main/java/cypressglade/core/Brain.java
+++ b/src/main/java/cypressglade/core/SchedulingPolicy.java
@@ -17,7 +17,7 @@
  * is predicted to miss is refused on arrival. Exceptions are marked where they stand and their
  * conditions are listed in docs/design.md.
  */
-public final class Brain implements Scheduler {
+public final class SchedulingPolicy implements Scheduler {
     static final double US = 1e6; // microseconds in a second
 
     // The ordinary path.
@@ -91,17 +91,17 @@
 
     Settings settings;
     Limits limits;
-    Parts parts = Parts.EVEN;
+    Scheduler.LimitShares parts = Scheduler.LimitShares.EVEN;
     private final Actions actions;
     private final SplittableRandom random;
-    private final Map<Long, Node> nodes = new LinkedHashMap<>();
-    final Map<Integer, Node> shards = new TreeMap<>();
-    private final Map<Long, Held> open = new HashMap<>();
-    private final Map<Long, Volume> volumes = new LinkedHashMap<>();
-    private final Map<Long, ArrayDeque<Held>> turns = new HashMap<>();
+    private final Map<Long, TrackedNode> nodes = new LinkedHashMap<>();
+    final Map<Integer, TrackedNode> shards = new TreeMap<>();
+    private final Map<Long, PendingRequest> open = new HashMap<>();
+    private final Map<Long, TrackedVolume> volumes = new LinkedHashMap<>();
+    private final Map<Long, ArrayDeque<PendingRequest>> turns = new HashMap<>();
     private final Map<Long, Long> keyRests = new HashMap<>();
     private final ArrayDeque<Long> taken = new ArrayDeque<>(), further = new ArrayDeque<>();
-    private final LinkedHashMap<Long, Held> turnedAway = new LinkedHashMap<>();
+    private final LinkedHashMap<Long, PendingRequest> turnedAway = new LinkedHashMap<>();
     private int leastOut, mostOut, queueAt, heldCount, outCount, mostTurned;
     int answers;
     final long bornAt;
@@ -115,36 +115,40 @@
     private final long[] givenUp = new long[Reason.values().length];
     private boolean ticking;
 
-    public Brain(long nowUs, Settings settings, Actions actions) {
+    public SchedulingPolicy(long nowUs, Settings settings, Actions actions) {
         this.actions = actions;
         this.random = new SplittableRandom(settings.seed());
         this.bornAt = this.askedAt = nowUs;
-        this.asked = settings.mostUnits(); // until it is known, much is taken to be asked for
-        use(settings);
+        this.asked = settings.maxUnits(); // until it is known, much is taken to be asked for
+        applySettings(settings);
         if (settings.listOnRequest()) {
-            actions.watch(true);
+            actions.watchNodeList(true);
         }
     }
 
     @Override
-    public void use(Settings next) {
+    public void applySettings(Settings next) {
         settings = next;
         limits = next.limits();
         queueAt = next.loadNames().indexOf("waiting");
         List<RequestClass> classes = settings.classes();
-        tightestAim = classes.stream().mapToLong(RequestClass::aimUs).min().orElse(1);
+        tightestAim = classes.stream().mapToLong(RequestClass::targetLatencyUs).min().orElse(1);
         leastWorth = classes.stream().mapToDouble(RequestClass::worth).min().orElse(0);
         mostWorth = classes.stream().mapToDouble(RequestClass::worth).max().orElse(1);
         double dearest = settings.plans().stream().mapToDouble(Plan::worthFactor).max().orElse(1);
         topWorth = Math.max(mostWorth * dearest, Double.MIN_NORMAL);
-        leastOut = (int) Math.max(1, Math.round(LEAST_OUT / settings.heads()));
-        mostOut = (int) Math.max(1, CONNECTIONS / settings.heads() * limits.streams());
-        freshUs = Math.max(FRESH_US, (long) (Math.pow(settings.probePrice(), 2) * PRICE_US));
-        testGapUs = TEST_GAP_US * Math.max(4, settings.heads());
+        leastOut = (int) Math.max(1, Math.round(LEAST_OUT / settings.instances()));
+        mostOut =
+                (int)
+                        Math.max(
+                                1,
+                                CONNECTIONS / settings.instances() * limits.streamsPerConnection());
+        freshUs = Math.max(FRESH_US, (long) (Math.pow(settings.probeCost(), 2) * PRICE_US));
+        testGapUs = TEST_GAP_US * Math.max(4, settings.instances());
     }
 
     @Override
-    public void parts(long now, Parts next) {
+    public void applyLimitShares(long now, Scheduler.LimitShares next) {
         volumes.values().forEach(volume -> volume.refill(now)); // by the part that held until now
         parts = next;
     }
@@ -152,16 +156,16 @@
     // ---- events
 
     @Override
-    public void nodes(long now, ListKind kind, List<NodeEntry> entries) {
+    public void updateNodes(long now, ListKind kind, List<NodeEntry> entries) {
         if (kind == ListKind.FAILED) {
-            actions.timer(WATCH_AGAIN_US, WATCH); // only those that asked are told
+            actions.startTimer(WATCH_AGAIN_US, WATCH); // only those that asked are told
             return;
         }
         if (kind != ListKind.DELTA) {
             nodes.values().forEach(node -> node.ready = false);
         }
         for (NodeEntry entry : entries) {
-            nodes.computeIfAbsent(entry.node(), address -> new Node(this)).update(entry);
+            nodes.computeIfAbsent(entry.node(), address -> new TrackedNode(this)).update(entry);
         }
         shards.clear();
         nodes.values().stream()
@@ -173,21 +177,22 @@
     }
 
     @Override
-    public void request(long now, Request request) {
-        if (limits.budget()) {
+    public void handleRequest(long now, Request request) {
+        if (limits.hasAttemptBudget()) {
             taken.add(now);
         }
         asked = asked * Math.exp(-(now - askedAt) / DEMAND_US) + request.units();
         askedAt = now;
-        Held held = new Held(now, request);
+        PendingRequest held = new PendingRequest(now, request);
         open.put(request.id(), held);
         if (request.requestClass() >= settings.classes().size()
                 || request.plan() >= settings.plans().size()) {
             giveUp(now, held, 0, Reason.UNKNOWN);
             return;
         }
-        held.volume = volumes.computeIfAbsent(request.volume(), id -> new Volume(this, now, held));
-        held.volume.heads = Math.max(1, request.heads());
+        held.volume =
+                volumes.computeIfAbsent(request.volume(), id -> new TrackedVolume(this, now, held));
+        held.volume.heads = Math.max(1, request.instances());
         held.volume.plan = settings.plans().get(request.plan());
         held.type = settings.classes().get(request.requestClass());
         held.background =
@@ -195,8 +200,8 @@
                         && !held.type.write()
                         && leastWorth < mostWorth
                         && held.type.worth() <= leastWorth
-                        && held.type.aimUs() >= BACKGROUND_AIM * tightestAim;
-        held.aim = firstTry(now, held) + held.type.aimUs();
+                        && held.type.targetLatencyUs() >= BACKGROUND_AIM * tightestAim;
+        held.aim = firstTry(now, held) + held.type.targetLatencyUs();
         held.due = Math.min(held.aim, held.expiry);
         if (held.type.keepOrder() && request.key() != 0) {
             held.ordered = true;
@@ -210,25 +215,26 @@
     }
 
     @Override
-    public void outcome(long now, Outcome outcome) {
-        Held held = open.get(outcome.requestId());
+    public void handleOutcome(long now, Outcome outcome) {
+        PendingRequest held = open.get(outcome.requestId());
         int attempt = outcome.attempt();
-        Sent sent =
+        SentAttempt sent =
                 held == null || attempt >= held.sent.size() ? null : held.sent.set(attempt, null);
         if (sent == null) {
             return;
         }
-        Node node = sent.node();
+        TrackedNode node = sent.node();
         held.outstanding--;
         outCount--;
         node.drop(sent);
         learn(now, node, sent, outcome);
-        held.over |= outcome.over();
+        held.over |= outcome.requestDone();
         if (outcome.status().mayHaveRun && outcome.status() != Status.OK) {
             held.mayHaveRun = true;
             if (held.ordered && outcome.status() != Status.ERROR) {
                 keyRests.values().removeIf(until -> until < now);
-                keyRests.put(held.request.key(), now + limits.turnGapUs()); // it may still run
+                keyRests.put(
+                        held.request.key(), now + limits.orderedKeyPauseUs()); // it may still run
             }
         }
         if (!held.over && held.outstanding == 0) {
@@ -239,13 +245,14 @@
     }
 
     @Override
-    public void streamStarted(long now, long requestId, int attempt, long node, long latencyUs) {
+    public void handleStreamStart(
+            long now, long requestId, int attempt, long node, long latencyUs) {
         // The attempt is the client's from here on; its outcome comes with the end of the request.
     }
 
     @Override
-    public void withdrawn(long now, long requestId) {
-        Held held = open.get(requestId);
+    public void handleWithdrawal(long now, long requestId) {
+        PendingRequest held = open.get(requestId);
         if (held != null) {
             unqueue(held);
             held.over = true; // a parked one is passed over when its probe comes back
@@ -254,8 +261,8 @@
     }
 
     @Override
-    public void probed(long now, long address, Status status, long latencyUs, float[] load) {
-        Node node = nodes.get(address);
+    public void handleProbe(long now, long address, Status status, long latencyUs, float[] load) {
+        TrackedNode node = nodes.get(address);
         if (node == null) {
             return;
         }
@@ -280,8 +287,8 @@
      * whatever is known here.
      */
     @Override
-    public void hint(long now, Hint hint) {
-        Node node = nodes.get(hint.node());
+    public void handleHint(long now, Hint hint) {
+        TrackedNode node = nodes.get(hint.node());
         if (node == null) {
             return;
         }
@@ -292,12 +299,12 @@
                 node.coldSends.add(new double[] {now, node.coldRoom(now)});
             }
             node.heardAt = now;
-            node.pace = hint.paceUs();
+            node.pace = hint.serviceTimePerUnitUs();
             node.backlog = hint.backlogUs();
-            node.strain = hint.strain();
-            node.errors = hint.errors();
+            node.strain = hint.latencyRatio();
+            node.errors = hint.errorRatio();
             node.guarded = true;
-            node.down = hint.silent() && limits.probes();
+            node.down = hint.silent() && limits.mayProbe();
             double part = Math.max(AVERAGE_SMOOTHING, 1.0 / (++answers + FIRST_ANSWERS));
             averagePace += part * (node.pace - averagePace);
             startTicking();
@@ -305,32 +312,32 @@
     }
 
     @Override
-    public List<NodeView> views(long now) {
+    public List<NodeView> nodeViews(long now) {
         return nodes.values().stream().map(node -> node.view(now)).toList();
     }
 
     @Override
-    public Load load(long now) {
+    public Scheduler.QueueView queueView(long now) {
         int[] held = new int[settings.classes().size()];
         long[] oldest = new long[held.length];
-        for (Node node : nodes.values()) {
+        for (TrackedNode node : nodes.values()) {
             Stream.concat(node.queue.stream(), node.parked.stream())
                     .filter(one -> one.request.requestClass() < held.length)
                     .forEach(one -> count(now, one, held, oldest));
         }
-        return new Load(held, oldest, givenUp.clone());
+        return new Scheduler.QueueView(held, oldest, givenUp.clone());
     }
 
-    private static void count(long now, Held one, int[] held, long[] oldest) {
+    private static void count(long now, PendingRequest one, int[] held, long[] oldest) {
         int type = one.request.requestClass();
         held[type]++;
         oldest[type] = Math.max(oldest[type], now - one.arrived);
     }
 
     @Override
-    public void timer(long now, long token) {
+    public void handleTimer(long now, long token) {
         if (token == WATCH) {
-            actions.watch(true);
+            actions.watchNodeList(true);
             return;
         }
         ticking = false;
@@ -340,11 +347,11 @@
             meanExcess =
                     volumes.values().stream()
                             .filter(volume -> volume.excess > LEAST_EXCESS)
-                            .mapToDouble(Volume::excessByWeight)
+                            .mapToDouble(TrackedVolume::excessByWeight)
                             .average()
                             .orElse(0);
         }
-        for (Node node : nodes.values()) {
+        for (TrackedNode node : nodes.values()) {
             if (node.idle()) {
                 continue;
             }
@@ -370,13 +377,13 @@
      * When the client first asked: a repeat is for the same piece, and its patience ends when it
      * did.
      */
-    private long firstTry(long now, Held held) {
+    private long firstTry(long now, PendingRequest held) {
         if (turnedAway.size() > mostTurned) { // not at each request: a storm leaves thousands here
             turnedAway.values().removeIf(before -> before.expiry < now);
             mostTurned = LEAST_TURNED + 2 * turnedAway.size();
         }
         for (int step = -1; step <= 1; step++) {
-            Held before = turnedAway.remove(held.print(step));
+            PendingRequest before = turnedAway.remove(held.print(step));
             if (before != null && before.expiry >= now) {
                 held.firstTry = before.firstTry;
                 break;
@@ -386,8 +393,8 @@
     }
 
     /** Takes a request into a node's queue, or refuses it at once. */
-    private void admit(long now, Held held) {
-        Node node =
+    private void admit(long now, PendingRequest held) {
+        TrackedNode node =
                 held.request.shard() >= 0 ? shards.get(held.request.shard()) : bestNode(now, held);
         if (node != null && node.ready && askFirst(now, node, held)) {
             return;
@@ -399,12 +406,12 @@
                         held.volume.limitWait(now, held.volume.pending + held.request.units()));
         if (node == null || !usable(now, node)) {
             giveUp(now, held, 2 * testGapUs, node == null ? Reason.NO_NODE : Reason.SILENT);
-        } else if (held.aim < now + LEAST_AIM_PART * held.type.aimUs()) {
+        } else if (held.aim < now + LEAST_AIM_PART * held.type.targetLatencyUs()) {
             // Past the aim of the first try a repeat earns little, yet costs as much. Covers every
             // overload in which clients ask again; may hurt where late answers are worth much.
             giveUp(now, held, 0, Reason.LATE_REPEAT);
         } else if (node.coldRoom(now) < held.request.units()) {
-            giveUp(now, held, limits.fallUs(), Reason.COLD);
+            giveUp(now, held, limits.overloadWindowUs(), Reason.COLD);
         } else if (now + wait > held.due) {
             giveUp(now, held, (long) Math.min(wait, Integer.MAX_VALUE), Reason.LIMIT);
         } else if (held.background || fitsAim(now, node, held)) {
@@ -420,7 +427,7 @@
      * by unit. A long aim must not let the less worthy take the room that short ones need, so the
      * tightest aim counts more the less the worth.
      */
-    private boolean fitsAim(long now, Node node, Held held) {
+    private boolean fitsAim(long now, TrackedNode node, PendingRequest held) {
         held.work = held.request.units() * (node.takes(held.request.key()) ? SAME_KEY_PART : 1);
         double ahead = node.heldAhead(held);
         double over = finish(now, node, held, ahead) - (held.aim - now);
@@ -441,10 +448,10 @@
      * request waits. Covers crowds, pauses and silence that begin between two requests; costs a
      * probe and its way.
      */
-    private boolean askFirst(long now, Node node, Held held) {
+    private boolean askFirst(long now, TrackedNode node, PendingRequest held) {
         boolean known =
                 now - node.seenAt < freshUs && node.seenAt != Long.MIN_VALUE && usable(now, node);
-        if (!limits.probes() || held.asked || known || now + 2 * ASK_WAIT_US > held.due) {
+        if (!limits.mayProbe() || held.asked || known || now + 2 * ASK_WAIT_US > held.due) {
             return false;
         }
         held.asked = true;
@@ -458,8 +465,8 @@
         return true;
     }
 
-    private void decideParked(long now, Node node) {
-        List<Held> waiting = new ArrayList<>(node.parked);
+    private void decideParked(long now, TrackedNode node) {
+        List<PendingRequest> waiting = new ArrayList<>(node.parked);
         node.parked.clear();
         heldCount -= waiting.size();
         waiting.stream().filter(held -> !held.over).forEach(held -> admit(now, held));
@@ -468,7 +475,7 @@
     /**
      * Predicted time until the request completes: what is ahead over the speed, plus the latency.
      */
-    private double finish(long now, Node node, Held held, double heldAhead) {
+    private double finish(long now, TrackedNode node, PendingRequest held, double heldAhead) {
         return node.backlog(now) + span(node.outUnits + heldAhead, held.work) * node.pace(now);
     }
 
@@ -482,10 +489,10 @@
     }
 
     /** Whether an accepted request that is worth as much would be pushed past its own deadline. */
-    private boolean displaces(long now, Node node, Held held) {
+    private boolean displaces(long now, TrackedNode node, PendingRequest held) {
         double ahead = node.outUnits;
         double pace = node.pace(now);
-        for (Held other : node.queue) {
+        for (PendingRequest other : node.queue) {
             double alone = now + node.backlog(now) + span(ahead, other.work) * pace;
             ahead += other.work;
             if (other.due > held.due
@@ -499,10 +506,10 @@
         return false;
     }
 
-    private Node bestNode(long now, Held held) {
-        Node best = null;
+    private TrackedNode bestNode(long now, PendingRequest held) {
+        TrackedNode best = null;
         double least = Double.MAX_VALUE;
-        for (Node node : shards.values()) {
+        for (TrackedNode node : shards.values()) {
             if (usable(now, node) && node.coldRoom(now) >= held.request.units()) {
                 double finish = finish(now, node, held, node.heldAhead(held));
                 finish *= 1 + HERD_SPREAD * random.nextDouble() + ERROR_TIMES * node.errors;
@@ -516,7 +523,7 @@
     }
 
     /** Part of the aim for what is ahead: the more crowded, the sooner the less worthy give way. */
-    private double slack(long now, Node node, double worth) {
+    private double slack(long now, TrackedNode node, double worth) {
         return SLACK_TOP * Math.pow(worth, STRAIN_POWER * node.strain(now));
     }
 
@@ -524,8 +531,8 @@
      * Worth of one unit against the most that any can earn: class, plan, and what is due to the
      * volume.
      */
-    private double unitWorth(Held held) {
-        Volume volume = held.volume;
+    private double unitWorth(PendingRequest held) {
+        TrackedVolume volume = held.volume;
         double units = held.request.units();
         double reserved = Math.min(1, Math.max(0, volume.reserve / units));
         double beyond = settings.fairWorth();
@@ -544,7 +551,7 @@
 
     // ---- sending
 
-    private void enqueue(Node node, Held held) {
+    private void enqueue(TrackedNode node, PendingRequest held) {
         int at = node.queue.size();
         while (at > 0
                 && node.queue.get(at - 1).due > held.due
@@ -558,7 +565,7 @@
         heldCount++;
     }
 
-    private void unqueue(Held held) {
+    private void unqueue(PendingRequest held) {
         if (held.node != null) {
             held.node.queue.remove(held);
             held.node = null;
@@ -567,10 +574,10 @@
         }
     }
 
-    private void dispatch(long now, Node node) {
+    private void dispatch(long now, TrackedNode node) {
         int i = 0;
         while (i < node.queue.size() && node.ready && now >= node.restUntil) {
-            Held held = node.queue.get(i);
+            PendingRequest held = node.queue.get(i);
             if (!mayGo(now, held) || node.coldRoom(now) < held.request.units()) {
                 i++;
             } else if (!held.sent.isEmpty() && !mayTryFurther(now, held)) {
@@ -591,7 +598,7 @@
      * Best effort: background work steps behind the others that wait, never past its class
      * deadline.
      */
-    private boolean shift(Node node, Held held, int at) {
+    private boolean shift(TrackedNode node, PendingRequest held, int at) {
         long last = Math.min(held.arrived + held.type.deadlineUs(), held.expiry);
         if (held.due >= last || at + 1 >= node.queue.size() || node.queue.get(at + 1).background) {
             return false;
@@ -609,7 +616,7 @@
     /**
      * Whether the units out stay in bounds; background leaves only while the node answers quickly.
      */
-    private boolean fits(long now, Node node, Held held) {
+    private boolean fits(long now, TrackedNode node, PendingRequest held) {
         if (held.background) {
             double quiet =
                     node.backlog(now) + (node.outUnits + settings.meanUnits()) * node.pace(now);
@@ -621,7 +628,7 @@
     }
 
     /** Whether the rules on limits and order let this request go now. */
-    private boolean mayGo(long now, Held held) {
+    private boolean mayGo(long now, PendingRequest held) {
         long key = held.request.key();
         boolean turn =
                 !held.ordered
@@ -632,15 +639,15 @@
                 && (!held.sent.isEmpty() || held.volume.limitWait(now, held.request.units()) <= 0);
     }
 
-    private void send(long now, Node node, Held held) {
+    private void send(long now, TrackedNode node, PendingRequest held) {
         if (held.sent.isEmpty()) {
             held.firstSent = now;
             held.volume.limit -= held.request.units();
         } else {
             further.add(now);
         }
-        Sent sent =
-                new Sent(
+        SentAttempt sent =
+                new SentAttempt(
                         now,
                         node,
                         held,
@@ -659,13 +666,13 @@
      * Settles a request whose attempt failed: another attempt where the rules allow it, or its
      * answer.
      */
-    private void again(long now, Held held, Node node, Status status) {
+    private void again(long now, PendingRequest held, TrackedNode node, Status status) {
         boolean retry =
                 status != Status.TIMEOUT
                         && status != Status.MOOT
-                        && held.sent.size() < limits.attempts()
+                        && held.sent.size() < limits.maxAttempts()
                         && mayTryFurther(now, held);
-        Node next =
+        TrackedNode next =
                 retry && held.request.shard() < 0 && !held.mayHaveRun ? bestNode(now, held) : node;
         if (retry
                 && next != null
@@ -682,7 +689,7 @@
      * The class and the budget of further attempts; asked again when a held one leaves, windows
      * move on.
      */
-    private boolean mayTryFurther(long now, Held held) {
+    private boolean mayTryFurther(long now, PendingRequest held) {
         boolean repeatable =
                 !held.mayHaveRun
                         || held.type.effect() == Effect.SAFE
@@ -691,15 +698,16 @@
         further.removeIf(at -> at < now - limits.budgetWindowUs());
         taken.removeIf(at -> at < now - limits.budgetWindowUs() + settings.tickUs());
         return repeatable
-                && (!limits.budget()
+                && (!limits.hasAttemptBudget()
                         || further.size() + 1
-                                <= limits.freeResends() + limits.furtherRatio() * taken.size());
+                                <= limits.freeFurtherAttempts()
+                                        + limits.furtherAttemptsRatio() * taken.size());
     }
 
     /**
      * The final answer, at once: refused where that is allowed, failed where the work may have run.
      */
-    private void giveUp(long now, Held held, long adviceUs, Reason reason) {
+    private void giveUp(long now, PendingRequest held, long adviceUs, Reason reason) {
         givenUp[reason.ordinal()]++;
         unqueue(held);
         held.over = true;
@@ -710,7 +718,7 @@
                         || held.type.effect() == Effect.KEYED && held.type.scope() == Scope.ALL;
         if (harmless) {
             long advice = Math.min(Math.max(adviceUs, LEAST_ADVICE_US), limits.maxRetryAfterUs());
-            actions.refuse(held.request.id(), limits.retryAfter() ? advice : 0);
+            actions.refuse(held.request.id(), limits.mayAdviseRetry() ? advice : 0);
         } else {
             actions.fail(held.request.id());
         }
@@ -718,7 +726,7 @@
         forget(now, held);
     }
 
-    private void forget(long now, Held held) {
+    private void forget(long now, PendingRequest held) {
         if (held.over && held.outstanding == 0) {
             open.remove(held.request.id());
             if (held.ordered) {
@@ -731,9 +739,9 @@
 
     // ---- nodes
 
-    private void learn(long now, Node node, Sent sent, Outcome outcome) {
-        if (outcome.used() > 0) {
-            sent.held().volume.meter(outcome.used() - 1);
+    private void learn(long now, TrackedNode node, SentAttempt sent, Outcome outcome) {
+        if (outcome.volumeUse() > 0) {
+            sent.held().volume.meter(outcome.volumeUse() - 1);
         }
         switch (outcome.status()) {
             case OK -> {
@@ -766,7 +774,7 @@
      * which is the load of other heads, pauses and put-off work (the backlog, learned fast and by
      * time).
      */
-    private void teach(long now, Node node, Sent sent, long latencyUs) {
+    private void teach(long now, TrackedNode node, SentAttempt sent, long latencyUs) {
         double pace = node.pace(now);
         double backlog = node.backlog(now);
         double error = latencyUs - backlog - sent.span() * pace;
@@ -787,7 +795,7 @@
         double strain =
                 Math.min(
                         SAMPLE_CLIP,
-                        (double) (now - sent.held().arrived) / sent.held().type.aimUs());
+                        (double) (now - sent.held().arrived) / sent.held().type.targetLatencyUs());
         double old = node.strain(now);
         node.strain =
                 old
@@ -807,13 +815,13 @@
      * instead. Covers nodes with a broken disk or a bad release; may hurt where one class alone is
      * in error.
      */
-    private void heard(long now, Node node, boolean error) {
+    private void heard(long now, TrackedNode node, boolean error) {
         node.answeredAt = node.seenAt = now;
         node.down = node.guarded = false;
         node.errors += SMOOTHING * ((error ? 1 : 0) - node.errors);
     }
 
-    private boolean usable(long now, Node node) {
+    private boolean usable(long now, TrackedNode node) {
         return node.ready && (!node.down && now < node.trustedUntil || !silent(now, node));
     }
 
@@ -822,13 +830,13 @@
      * node is down, hangs, is cut off, or is far slower than it was; more sends would only be lost.
      * May hurt where a heavy request alone fills the node: a probe brings it back.
      */
-    boolean silent(long now, Node node) {
-        Sent oldest = node.out.peek();
+    boolean silent(long now, TrackedNode node) {
+        SentAttempt oldest = node.out.peek();
         return node.down
                 || oldest != null && overdue(now, oldest, Math.max(oldest.at(), node.answeredAt));
     }
 
-    private static boolean overdue(long now, Sent sent, long since) {
+    private static boolean overdue(long now, SentAttempt sent, long since) {
         return now - since > Math.max(SILENT_US, SILENT_TIMES * sent.expected());
     }
 
@@ -838,29 +846,29 @@
      * and what a hang leaves behind; may hurt when a costly request still runs, as one more is then
      * sent beside it.
      */
-    private void writeOffLost(long now, Node node) {
-        for (Sent sent : List.copyOf(node.out)) {
+    private void writeOffLost(long now, TrackedNode node) {
+        for (SentAttempt sent : List.copyOf(node.out)) {
             if (overdue(now, sent, sent.at()) && node.answeredAt > sent.at() + SILENT_US) {
                 node.drop(sent);
             }
         }
     }
 
-    private void testSilent(long now, Node node) {
+    private void testSilent(long now, TrackedNode node) {
         if (node.ready && now - node.testedAt >= testGapUs && silent(now, node)) {
             node.testedAt = now;
-            node.trustedUntil = limits.probes() ? node.trustedUntil : now + FRESH_US;
+            node.trustedUntil = limits.mayProbe() ? node.trustedUntil : now + FRESH_US;
             // else a request tests: one reset must not bar a node for good
-            node.down &= limits.probes();
-            if (limits.probes()) {
+            node.down &= limits.mayProbe();
+            if (limits.mayProbe()) {
                 actions.probe(node.address);
             }
         }
     }
 
     /** Answers those held requests that can no longer be served in time. */
-    private void expire(long now, Node node) {
-        for (Held held : List.copyOf(node.queue)) {
+    private void expire(long now, TrackedNode node) {
+        for (PendingRequest held : List.copyOf(node.queue)) {
             double need = node.backlog(now) + span(0, held.work) * node.pace(now);
             if (now + Math.max(2 * TICK_US, need) > held.due) {
                 giveUp(now, held, LEAST_ADVICE_US, Reason.EXPIRED);
@@ -872,8 +880,8 @@
      * Nothing more goes to a node that drains or is gone; what is held goes elsewhere or is
      * answered.
      */
-    private void moveHeld(long now, Node node) {
-        for (Held held : new ArrayList<>(node.queue)) {
+    private void moveHeld(long now, TrackedNode node) {
+        for (PendingRequest held : new ArrayList<>(node.queue)) {
             unqueue(held);
             if (held.sent.isEmpty()) {
                 admit(now, held);
@@ -888,7 +896,7 @@
                 && (heldCount + outCount > 0
                         || nodes.values().stream().anyMatch(node -> node.ready && node.down))) {
             ticking = true;
-            actions.timer(TICK_US, TICK);
+            actions.startTimer(TICK_US, TICK);
         }
     }
 }
--- a/src/main/java/cypressglade/core/Node.java
+++ b/src/main/java/cypressglade/core/TrackedNode.java
@@ -2,13 +2,12 @@
 
 import cypressglade.core.Scheduler.NodeEntry;
 import cypressglade.core.Scheduler.NodeView;
-import cypressglade.core.Scheduler.Parts;
 import cypressglade.core.Scheduler.State;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 
 /** A storage node as this head sees it. */
-final class Node {
+final class TrackedNode {
     // The ordinary path.
     private static final int RECENT_KEYS = 3; // pieces that a node is taken to remember
     // Part of the tightest aim that the units out may take.
@@ -29,7 +28,7 @@
     private static final int COLD_ANSWERS = 20; // answers from which that is known
     private static final double LEAST_WARMTH = 0.05; // where settings name no cold part
 
-    private final Brain brain;
+    private final SchedulingPolicy brain;
     long address;
     private long startedUs;
     long testedAt, restUntil, trustedUntil;
@@ -42,12 +41,12 @@
     private final ArrayDeque<Long> recentKeys = new ArrayDeque<>();
     long heardAt = Long.MIN_VALUE, answeredAt = Long.MIN_VALUE; // by anything; by an answer
     long seenAt = Long.MIN_VALUE, probedAt = Long.MIN_VALUE; // signs of life; probe that is out
-    final ArrayList<Held> parked = new ArrayList<>();
-    final ArrayDeque<Sent> out = new ArrayDeque<>();
-    final ArrayList<Held> queue = new ArrayList<>();
+    final ArrayList<PendingRequest> parked = new ArrayList<>();
+    final ArrayDeque<SentAttempt> out = new ArrayDeque<>();
+    final ArrayList<PendingRequest> queue = new ArrayList<>();
     final ArrayDeque<double[]> coldSends = new ArrayDeque<>();
 
-    Node(Brain brain) {
+    TrackedNode(SchedulingPolicy brain) {
         this.brain = brain;
     }
 
@@ -76,7 +75,9 @@
     double recall(long now, double learned, double average) {
         return heardAt == Long.MIN_VALUE
                 ? average
-                : average + (learned - average) * Math.exp(-(now - heardAt) / Brain.FORGET_US);
+                : average
+                        + (learned - average)
+                                * Math.exp(-(now - heardAt) / SchedulingPolicy.FORGET_US);
     }
 
     /**
@@ -89,7 +90,7 @@
                 : Math.max(
                         LEAST_WARMTH,
                         1
-                                - (1 - brain.limits.coldFrom())
+                                - (1 - brain.limits.coldSpeedFraction())
                                         * Math.min(1, (double) cold / brain.limits.rampUs()));
     }
 
@@ -103,11 +104,12 @@
 
     /** Share of their aim that answers take: how crowded the node is. */
     double strain(long now) {
-        double kept = Math.exp(-(now - brain.averageAt) / Brain.FORGET_US);
+        double kept = Math.exp(-(now - brain.averageAt) / SchedulingPolicy.FORGET_US);
         return recall(
                 now,
                 strain,
-                Brain.START_STRAIN + (brain.averageStrain - Brain.START_STRAIN) * kept);
+                SchedulingPolicy.START_STRAIN
+                        + (brain.averageStrain - SchedulingPolicy.START_STRAIN) * kept);
     }
 
     /**
@@ -116,7 +118,7 @@
      */
     double backlog(long now) {
         double known = recall(now, backlog, brain.averageBacklog(now));
-        Sent oldest = out.peek();
+        SentAttempt oldest = out.peek();
         return oldest == null
                 ? known
                 : Math.max(known, now - Math.max(oldest.at() + oldest.expected(), seenAt));
@@ -143,7 +145,7 @@
         return false;
     }
 
-    void drop(Sent sent) {
+    void drop(SentAttempt sent) {
         if (out.remove(sent)) {
             outUnits = out.isEmpty() ? 0 : outUnits - sent.held().work;
         }
@@ -180,9 +182,9 @@
                 coldRoom(now));
     }
 
-    double heldAhead(Held held) {
+    double heldAhead(PendingRequest held) {
         double ahead = 0;
-        for (Held other : queue) {
+        for (PendingRequest other : queue) {
             if (other.due <= held.due && !other.background) {
                 ahead += other.work;
             }
@@ -199,46 +201,46 @@
      * have all the traffic of the node.
      */
     double coldRoom(long now) {
-        coldSends.removeIf(sent -> sent[0] <= now - brain.limits.fallUs());
+        coldSends.removeIf(sent -> sent[0] <= now - brain.limits.overloadWindowUs());
         double warmth = warmth(now);
         if (warmth >= 1) {
             return Double.MAX_VALUE;
         }
         double all =
-                brain.limits.youngUnits()
+                brain.limits.coldNodeUnits()
                         * warmth
-                        / Math.max(LEAST_WARMTH, brain.limits.coldFrom());
+                        / Math.max(LEAST_WARMTH, brain.limits.coldSpeedFraction());
         if (brain.answers >= COLD_ANSWERS) {
             double paced =
                     Math.max(
                             brain.averagePace / warmth,
-                            answers < Brain.FIRST_ANSWERS ? 0 : pace(now));
+                            answers < SchedulingPolicy.FIRST_ANSWERS ? 0 : pace(now));
             all =
                     Math.max(
                             all,
                             COLD_PART
                                     * brain.limits.overloadFactor()
-                                    * brain.limits.fallUs()
+                                    * brain.limits.overloadWindowUs()
                                     / paced);
         }
-        double room = all / brain.parts.nodeHeads(now, address, brain.settings.heads());
-        if (brain.parts == Parts.EVEN && room < brain.settings.mostUnits()) {
+        double room = all / brain.parts.nodeDivisor(now, address, brain.settings.instances());
+        if (brain.parts == Scheduler.LimitShares.EVEN && room < brain.settings.maxUnits()) {
             double seen =
-                    Brain.DEMAND_US
+                    SchedulingPolicy.DEMAND_US
                             * (1
                                     - Math.exp(
-                                            -(now - brain.bornAt + brain.limits.fallUs())
-                                                    / Brain.DEMAND_US));
+                                            -(now - brain.bornAt + brain.limits.overloadWindowUs())
+                                                    / SchedulingPolicy.DEMAND_US));
             double demand =
                     brain.asked
                             / seen
-                            * brain.limits.fallUs()
-                            * brain.settings.heads()
+                            * brain.limits.overloadWindowUs()
+                            * brain.settings.instances()
                             / brain.shards.size();
-            long window = now / brain.limits.fallUs();
+            long window = now / brain.limits.overloadWindowUs();
             double turn =
                     (brain.settings.rank() * TURN_BY_RANK + (window + shard) * TURN_BY_WINDOW) % 1;
-            room = turn < TURN_PART * all / demand ? brain.settings.mostUnits() : 0;
+            room = turn < TURN_PART * all / demand ? brain.settings.maxUnits() : 0;
         }
         for (double[] sent : coldSends) {
             room -= sent[1];
--- a/src/main/java/cypressglade/core/Volume.java
+++ b/src/main/java/cypressglade/core/TrackedVolume.java
@@ -5,7 +5,7 @@
 /**
  * A volume as this head sees it: its part of the reserve and of the limit, and what it asks beyond.
  */
-final class Volume {
+final class TrackedVolume {
     // A volume that was not asked for so long is forgotten.
     private static final long IDLE_US = 60_000_000;
     // Least part of a volume, in even parts of its heads.
@@ -13,7 +13,7 @@
     // Part by number of heads, where no meter tells it.
     private static final double PART_POWER = -0.5;
 
-    private final Brain brain;
+    private final SchedulingPolicy brain;
     Plan plan;
     int heads = 1;
     private long id, refilledAt;
@@ -21,21 +21,22 @@
     double reserve, limit, pending, excess, servedHere;
     private double servedEverywhere = -1;
 
-    Volume(Brain brain, long now, Held first) {
+    TrackedVolume(SchedulingPolicy brain, long now, PendingRequest first) {
         this.brain = brain;
         id = first.request.volume();
         plan = brain.settings.plans().get(first.request.plan());
-        heads = Math.max(1, first.request.heads());
+        heads = Math.max(1, first.request.instances());
         refilledAt = now;
         reserve = part() * plan.reserveRate();
         // The store fills from the start of the instance, not from the first request. It starts
         // with its part of the slack, so that what a restart spends twice stays within that.
-        double filled = plan.limitSlack() + (now - brain.bornAt) / Brain.US * plan.limitRate();
-        limit = Math.min(plan.limitBurst(), filled) / brain.parts.leastHeads(heads);
+        double filled =
+                plan.limitSlack() + (now - brain.bornAt) / SchedulingPolicy.US * plan.limitRate();
+        limit = Math.min(plan.limitBurst(), filled) / brain.parts.maxDivisor(heads);
     }
 
     double limitHeads(long now) {
-        return brain.parts.volumeHeads(now, id, heads);
+        return brain.parts.volumeDivisor(now, id, heads);
     }
 
     /** This head's part of what the volume gets: by the meter where there is one. */
@@ -46,15 +47,15 @@
     }
 
     void refill(long now) {
-        double passed = (now - refilledAt) / Brain.US;
+        double passed = (now - refilledAt) / SchedulingPolicy.US;
         refilledAt = now;
         double full =
                 part() * plan.reserveRate()
-                        + (plan.reserveRate() > 0 ? brain.settings.mostUnits() : 0);
+                        + (plan.reserveRate() > 0 ? brain.settings.maxUnits() : 0);
         reserve = Math.min(full, reserve + passed * part() * plan.reserveRate());
         double among = limitHeads(now);
         limit = Math.min(plan.limitBurst() / among, limit + passed * plan.limitRate() / among);
-        double kept = Math.exp(-passed * Brain.US / Brain.RATE_US);
+        double kept = Math.exp(-passed * SchedulingPolicy.US / SchedulingPolicy.RATE_US);
         excess *= kept;
         servedHere *= kept;
     }
@@ -76,7 +77,7 @@
     void meter(int percent) {
         double rate = percent / 100.0 * plan.baseRate();
         double known = servedEverywhere < 0 ? rate : servedEverywhere;
-        servedEverywhere = known + Brain.SMOOTHING * (rate - known);
+        servedEverywhere = known + SchedulingPolicy.SMOOTHING * (rate - known);
     }
 
     /** How long until the store of the limit holds so many units. */
@@ -84,6 +85,6 @@
         refill(now);
         return plan.limitRate() <= 0
                 ? 0
-                : (units - limit) * limitHeads(now) / plan.limitRate() * Brain.US;
+                : (units - limit) * limitHeads(now) / plan.limitRate() * SchedulingPolicy.US;
     }
 }
--- a/src/main/java/cypressglade/learn/Learner.java
+++ b/src/main/java/cypressglade/learn/Learner.java
@@ -120,13 +120,13 @@
             NodeView view = fact.view();
             String id = fact.known().id();
             Word before = own.get(id);
-            if (!view.guarded() && view.silent()) {
+            if (!view.unconfirmed() && view.silent()) {
                 Duration silentFor =
                         before != null && before.silent()
                                 ? before.silentFor().plus(before.age(now))
                                 : LEAST_SILENCE;
                 words.put(id, Word.own(id, view, silentFor, now, self));
-            } else if (!view.guarded() && view.answeredAgoUs() >= 0) {
+            } else if (!view.unconfirmed() && view.answeredAgoUs() >= 0) {
                 Duration ago = Duration.ofNanos(view.answeredAgoUs() * 1000);
                 boolean fresh = ago.compareTo(FRESH) <= 0;
                 words.put(
@@ -155,14 +155,14 @@
     private void judge(NodeFact fact) {
         Given hint = given.get(fact.known().id());
         NodeView view = fact.view();
-        if (hint == null || hint.judged() || view.guarded()) {
+        if (hint == null || hint.judged() || view.unconfirmed()) {
             return;
         }
         boolean bothAnswer = !view.silent() && !hint.taught().silent();
         if (bothAnswer && view.answers() < ANSWERS_TO_JUDGE) {
             return; // the pace is judged by a few answers
         }
-        double ratio = view.paceUs() / hint.taught().paceUs();
+        double ratio = view.serviceTimePerUnitUs() / hint.taught().paceUs();
         boolean held =
                 bothAnswer
                         ? ratio < HELD_FACTOR && ratio > 1 / HELD_FACTOR
@@ -213,7 +213,7 @@
         Given before = given.get(taught.node());
         boolean colder = taught.startedUs() > (before == null ? 0 : before.taught().startedUs());
         boolean ownKnowledge =
-                !view.guarded()
+                !view.unconfirmed()
                         && (view.silent()
                                 || view.seenAgoUs() >= 0
                                         && view.seenAgoUs() <= OWN_LIFE.toNanos() / 1000);
--- a/src/main/java/cypressglade/learn/Word.java
+++ b/src/main/java/cypressglade/learn/Word.java
@@ -41,10 +41,10 @@
         return new Word(
                 node,
                 view.startedUs(),
-                view.paceUs(),
+                view.serviceTimePerUnitUs(),
                 view.backlogUs(),
-                view.strain(),
-                view.errors(),
+                view.latencyRatio(),
+                view.errorRatio(),
                 view.answers(),
                 silentFor,
                 at,
--- a/src/main/java/cypressglade/nbd/NbdListener.java
+++ b/src/main/java/cypressglade/nbd/NbdListener.java
@@ -140,7 +140,7 @@
 
     /** The most that one request of the core may carry. */
     int mostBytes() {
-        return (int) Math.max(1, settings.mostUnits()) * config.unitBytes();
+        return (int) Math.max(1, settings.maxUnits()) * config.unitBytes();
     }
 
     void execute(Runnable task) {
--- a/src/main/java/cypressglade/operate/HandDrains.java
+++ b/src/main/java/cypressglade/operate/HandDrains.java
@@ -352,7 +352,7 @@
     public synchronized List<HandDrain> seen(List<NodeFact> facts) {
         Set<String> busy =
                 facts.stream()
-                        .filter(fact -> fact.view().outUnits() > 0 || fact.view().held() > 0)
+                        .filter(fact -> fact.view().inFlightUnits() > 0 || fact.view().queued() > 0)
                         .map(fact -> fact.known().id())
                         .collect(Collectors.toSet());
         List<HandDrain> done =
--- a/src/main/java/cypressglade/operate/Picture.java
+++ b/src/main/java/cypressglade/operate/Picture.java
@@ -1,7 +1,7 @@
 package cypressglade.operate;
 
 import cypressglade.core.NodeFact;
-import cypressglade.core.Scheduler.Load;
+import cypressglade.core.Scheduler;
 import java.time.Instant;
 import java.util.List;
 
@@ -10,5 +10,5 @@
         Instant at,
         List<NodeFact> nodes,
         List<String> classes,
-        Load load,
+        Scheduler.QueueView load,
         List<HandDrain> drains) {}
--- a/src/test/java/cypressglade/adapter/AdapterTest.java
+++ b/src/test/java/cypressglade/adapter/AdapterTest.java
@@ -93,8 +93,8 @@
         actions.fail(0x0a9bf60e6f2b19L);
         actions.cancel(0x0e3f4f5d3a91c4L, 1);
         actions.probe(0x0a9011f22becL);
-        actions.tell(Integer.toUnsignedLong(-1), new byte[] {0x68, 0x69});
-        actions.watch(true);
+        actions.sendToPeer(Integer.toUnsignedLong(-1), new byte[] {0x68, 0x69});
+        actions.watchNodeList(true);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         writer.flush(out);
         String expected =
--- a/src/test/java/cypressglade/config/ConfigTest.java
+++ b/src/test/java/cypressglade/config/ConfigTest.java
@@ -44,7 +44,7 @@
                 .containsExactly("job-read", "job-write");
         assertThat(config.settings().classes()).extracting("write").containsExactly(false, true);
         assertThat(config.settings().plans().get(0).limitRate()).isEqualTo(1);
-        assertThat(config.settings().limits().youngUnits()).isEqualTo(11);
+        assertThat(config.settings().limits().coldNodeUnits()).isEqualTo(11);
         assertThat(config.settings().seed()).isEqualTo(0x8c1f30d27a5be964L);
         assertThat(config.connectTimeout()).isEqualTo(Duration.ofMillis(250));
         NodeList.Entry entry = config.known().entries().get(0);
--- a/src/test/java/cypressglade/core/FleetTest.java
+++ b/src/test/java/cypressglade/core/FleetTest.java
@@ -1,6 +1,6 @@
 package cypressglade.core;
 
-import static cypressglade.core.Head.entry;
+import static cypressglade.core.PolicyHarness.entry;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cypressglade.core.Scheduler.ListKind;
@@ -16,10 +16,10 @@
 class FleetTest {
     private static final int NODES = 10;
 
-    private static List<Head> fleet(int heads, double probePrice) {
-        List<Head> fleet = new ArrayList<>();
+    private static List<PolicyHarness> fleet(int heads, double probePrice) {
+        List<PolicyHarness> fleet = new ArrayList<>();
         for (int rank = 0; rank < heads; rank++) {
-            Head head = new Head();
+            PolicyHarness head = new PolicyHarness();
             head.heads = heads;
             head.rank = rank;
             head.probePrice = probePrice;
@@ -29,7 +29,7 @@
     }
 
     /** One request of 2 units at a node, answered after so long. */
-    private static void served(Head head, long id, int shard, long latencyMs) {
+    private static void served(PolicyHarness head, long id, int shard, long latencyMs) {
         head.read(id, shard);
         head.pass(latencyMs);
         head.end(id, 0, shard, Status.OK, latencyMs);
@@ -42,7 +42,7 @@
     @ParameterizedTest
     @CsvSource({"0, 20, 20", "0.011, 20, 20", "0.08, 0, 0", "0.015, 20, 20"})
     void whatProbesCostDecidesHowOftenAHeadAsksFirst(double price, int least, int most) {
-        Head head = fleet(14, price).get(0);
+        PolicyHarness head = fleet(14, price).get(0);
         served(head, 1, 0, 40);
         head.probesAnswered = false;
         for (int id = 2; id <= 21; id++) {
@@ -64,7 +64,7 @@
     @ValueSource(ints = {4, 14, 56})
     void allHeadsTogetherTestASilentNodeAtOnePace(int heads) {
         long probes = 0;
-        for (Head head : fleet(heads, 0.08)) {
+        for (PolicyHarness head : fleet(heads, 0.08)) {
             served(head, 1, 0, 40);
             head.probesAnswered = false;
             head.read(2, 0);
@@ -84,9 +84,16 @@
     @CsvSource({"1, 28", "4, 28", "14, 28", "200, 200"})
     void allHeadsTogetherHoldFewConnectionsToANode(int heads, int most) {
         long out = 0;
-        for (Head head : fleet(heads, 0)) {
+        for (PolicyHarness head : fleet(heads, 0)) {
             for (int id = 1; id <= 40; id++) { // background, too
-                head.ask(id, 0, id % 2 == 0 ? Head.READ : Head.BULK, Head.PLAIN, 1, 6000, id);
+                head.ask(
+                        id,
+                        0,
+                        id % 2 == 0 ? PolicyHarness.READ : PolicyHarness.BULK,
+                        PolicyHarness.PLAIN,
+                        1,
+                        6000,
+                        id);
             }
             head.pass(20);
             out += head.count("send");
@@ -102,16 +109,16 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 4, 14})
     void aColdNodeGetsAPartOfWhatNodesWereSeenToDo(int heads) {
-        List<Head> fleet = fleet(heads, 0.08);
-        for (Head head : fleet) {
+        List<PolicyHarness> fleet = fleet(heads, 0.08);
+        for (PolicyHarness head : fleet) {
             for (int id = 1; id <= 40; id++) {
                 served(head, id, 1 + id % (NODES - 1), 40);
             }
             head.youngUnits = 4;
         }
         double[] sums = new double[40]; // by 300 ms, a tenth of the window
-        for (Head head : fleet) {
-            head.brain().use(head.settings());
+        for (PolicyHarness head : fleet) {
+            head.brain().applySettings(head.settings());
             head.list(ListKind.DELTA, entry(0, State.READY, head.now));
             long before = 0;
             for (int i = 0; i < sums.length; i++) {
--- a/src/test/java/cypressglade/core/HintTest.java
+++ b/src/test/java/cypressglade/core/HintTest.java
@@ -1,6 +1,6 @@
 package cypressglade.core;
 
-import static cypressglade.core.Head.MS;
+import static cypressglade.core.PolicyHarness.MS;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cypressglade.core.Scheduler.Hint;
@@ -16,8 +16,8 @@
 class HintTest {
     private static final double QUICK_US = 2_000;
 
-    private static Head head(boolean probes) {
-        Head head = new Head();
+    private static PolicyHarness head(boolean probes) {
+        PolicyHarness head = new PolicyHarness();
         head.probes = probes;
         head.probesAnswered = false;
         return head.start(2);
@@ -27,12 +27,12 @@
         return new Hint(100, pace, 0, 0.2, 0, silent, startedUs);
     }
 
-    private static NodeView view(Head head) {
-        return head.brain().views(head.now).get(0);
+    private static NodeView view(PolicyHarness head) {
+        return head.brain().nodeViews(head.now).get(0);
     }
 
     /** Twenty requests for the node in two seconds, of which nothing comes back. */
-    private static long sentToSilent(Head head) {
+    private static long sentToSilent(PolicyHarness head) {
         for (int i = 0; i < 20; i++) {
             head.read(i, 0);
             head.pass(100);
@@ -44,9 +44,9 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void staleWordOfHealthSendsAtMostOneMoreThanNoWord(boolean probes) {
-        Head untaught = head(probes);
-        Head taught = head(probes);
-        taught.brain().hint(taught.now, hint(QUICK_US, false, 0));
+        PolicyHarness untaught = head(probes);
+        PolicyHarness taught = head(probes);
+        taught.brain().handleHint(taught.now, hint(QUICK_US, false, 0));
         assertThat(sentToSilent(untaught)).isPositive();
         assertThat(sentToSilent(taught)).isLessThanOrEqualTo(untaught.count("send") + 1);
     }
@@ -54,25 +54,25 @@
     /** Guards against a window at its ceiling before anything was seen of the node. */
     @Test
     void unconfirmedNodeTakesASmallWindowAndAConfirmedOneAllOfIt() {
-        Head head = new Head();
+        PolicyHarness head = new PolicyHarness();
         head.heads = 1;
         head.probes = false;
         head.start(1);
-        head.brain().hint(head.now, hint(QUICK_US, false, 0));
+        head.brain().handleHint(head.now, hint(QUICK_US, false, 0));
         for (int i = 0; i < 12; i++) {
             head.read(i, 0);
         }
         assertThat(head.count("send")).isEqualTo(2);
-        assertThat(view(head).guarded()).isTrue();
+        assertThat(view(head).unconfirmed()).isTrue();
         head.end(0, 0, 0, Status.OK, 4);
         assertThat(head.count("send")).isEqualTo(12);
-        assertThat(view(head).guarded()).isFalse();
+        assertThat(view(head).unconfirmed()).isFalse();
     }
 
     @Test
     void nodeSaidToBeSilentGetsNothingUntilItsProbeComesBack() {
-        Head head = head(true);
-        head.brain().hint(head.now, hint(QUICK_US, true, 0));
+        PolicyHarness head = head(true);
+        head.brain().handleHint(head.now, hint(QUICK_US, true, 0));
         head.pass(20);
         assertThat(head.count("probe 0")).isEqualTo(1);
         head.read(1, 0);
@@ -86,38 +86,38 @@
     /** Guards against an echo: what is hearsay may not be told as seen, a failed probe may. */
     @Test
     void silenceIsOwnKnowledgeOnceTheOwnProbeFailed() {
-        Head head = head(true);
-        head.brain().hint(head.now, hint(QUICK_US, true, 0));
-        assertThat(view(head).guarded()).isTrue();
+        PolicyHarness head = head(true);
+        head.brain().handleHint(head.now, hint(QUICK_US, true, 0));
+        assertThat(view(head).unconfirmed()).isTrue();
         head.pass(20);
         head.probed(0, Status.TIMEOUT);
-        assertThat(view(head).guarded()).isFalse();
+        assertThat(view(head).unconfirmed()).isFalse();
         assertThat(view(head).silent()).isTrue();
     }
 
     @Test
     void ownAnswersBeatHearsayWhileTheyAreFresh() {
-        Head head = head(false);
+        PolicyHarness head = head(false);
         head.read(1, 0);
         head.end(1, 0, 0, Status.OK, 30);
         NodeView before = view(head);
-        head.brain().hint(head.now, hint(QUICK_US, true, 0));
+        head.brain().handleHint(head.now, hint(QUICK_US, true, 0));
         assertThat(view(head)).isEqualTo(before);
         head.pass(1100);
-        head.brain().hint(head.now, hint(QUICK_US, false, 0));
-        assertThat(view(head).paceUs()).isEqualTo(QUICK_US);
+        head.brain().handleHint(head.now, hint(QUICK_US, false, 0));
+        assertThat(view(head).serviceTimePerUnitUs()).isEqualTo(QUICK_US);
     }
 
     /** Guards against a cold node that is filled because word says that it is quick. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 4})
     void coldNodeTakesThePartOfOneInstanceWhateverIsSaidOfItsPace(int heads) {
-        Head head = new Head();
+        PolicyHarness head = new PolicyHarness();
         head.heads = heads;
         head.probes = false;
         head.start(1);
-        head.list(ListKind.DELTA, Head.entry(0, State.READY, head.now - 1000 * MS));
-        head.brain().hint(head.now, hint(QUICK_US, false, 0));
+        head.list(ListKind.DELTA, PolicyHarness.entry(0, State.READY, head.now - 1000 * MS));
+        head.brain().handleHint(head.now, hint(QUICK_US, false, 0));
         double units = 0;
         for (int i = 0; i < 200; i++) {
             head.read(i, 0);
@@ -140,24 +140,24 @@
     /** The list may lag: the colder word holds, though this instance knows the node well. */
     @Test
     void laterStartToldByOthersMakesAWarmNodeCold() {
-        Head head = head(false);
+        PolicyHarness head = head(false);
         head.read(1, 0);
         head.end(1, 0, 0, Status.OK, 30);
-        assertThat(view(head).coldRoom()).isEqualTo(Double.MAX_VALUE);
-        head.brain().hint(head.now, hint(QUICK_US, false, head.now - 1000 * MS));
-        assertThat(view(head).coldRoom()).isLessThan(head.youngUnits);
-        head.brain().hint(head.now, hint(QUICK_US, false, 0));
-        assertThat(view(head).coldRoom()).isLessThan(head.youngUnits);
+        assertThat(view(head).coldCapacityUnits()).isEqualTo(Double.MAX_VALUE);
+        head.brain().handleHint(head.now, hint(QUICK_US, false, head.now - 1000 * MS));
+        assertThat(view(head).coldCapacityUnits()).isLessThan(head.youngUnits);
+        head.brain().handleHint(head.now, hint(QUICK_US, false, 0));
+        assertThat(view(head).coldCapacityUnits()).isLessThan(head.youngUnits);
     }
 
     @Test
     void restartUnderTheSameIdAndUnknownNodesTakeNothingFromHearsay() {
-        Head head = head(true);
-        head.brain().hint(head.now, hint(QUICK_US, true, 0));
-        head.brain().hint(head.now, new Hint(999, QUICK_US, 0, 0, 0, true, 0));
-        head.list(ListKind.DELTA, Head.entry(0, State.READY, head.now - 60_000 * MS));
+        PolicyHarness head = head(true);
+        head.brain().handleHint(head.now, hint(QUICK_US, true, 0));
+        head.brain().handleHint(head.now, new Hint(999, QUICK_US, 0, 0, 0, true, 0));
+        head.list(ListKind.DELTA, PolicyHarness.entry(0, State.READY, head.now - 60_000 * MS));
         assertThat(view(head).silent()).isFalse();
-        assertThat(view(head).guarded()).isFalse();
-        assertThat(head.brain().views(head.now)).hasSize(2);
+        assertThat(view(head).unconfirmed()).isFalse();
+        assertThat(head.brain().nodeViews(head.now)).hasSize(2);
     }
 }
--- a/src/test/java/cypressglade/core/PartsTest.java
+++ b/src/test/java/cypressglade/core/LimitSharesTest.java
@@ -1,21 +1,20 @@
 package cypressglade.core;
 
-import static cypressglade.core.Head.LIMITED;
-import static cypressglade.core.Head.MS;
-import static cypressglade.core.Head.READ;
+import static cypressglade.core.PolicyHarness.LIMITED;
+import static cypressglade.core.PolicyHarness.MS;
+import static cypressglade.core.PolicyHarness.READ;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cypressglade.core.Scheduler.ListKind;
-import cypressglade.core.Scheduler.Parts;
 import cypressglade.core.Scheduler.State;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
 /** What the module makes of its parts of what a fleet shares. */
-class PartsTest {
+class LimitSharesTest {
     private static final long VOLUME = 7;
     private static final long NODE = 100;
-    private final Head head = new Head();
+    private final PolicyHarness head = new PolicyHarness();
     private int asked;
     private int read;
 
@@ -47,9 +46,9 @@
 
     private void parts(double own, double rest, double least, long holdsMs) {
         head.brain()
-                .parts(
+                .applyLimitShares(
                         head.now,
-                        new Parts(
+                        new Scheduler.LimitShares(
                                 Map.of(VOLUME, own),
                                 Map.of(),
                                 rest,
@@ -91,16 +90,19 @@
         head.heads = 4;
         head.youngUnits = 40;
         head.start(1);
-        head.list(ListKind.DELTA, Head.entry(0, State.READY, head.now));
+        head.list(ListKind.DELTA, PolicyHarness.entry(0, State.READY, head.now));
         head.brain()
-                .parts(
+                .applyLimitShares(
                         head.now,
-                        new Parts(Map.of(), Map.of(NODE, 0.5), 0, 0, head.now + 60_000 * MS));
-        assertThat(head.brain().views(head.now).get(0).coldRoom()).isBetween(19.0, 21.0);
+                        new Scheduler.LimitShares(
+                                Map.of(), Map.of(NODE, 0.5), 0, 0, head.now + 60_000 * MS));
+        assertThat(head.brain().nodeViews(head.now).get(0).coldCapacityUnits())
+                .isBetween(19.0, 21.0);
         head.brain()
-                .parts(
+                .applyLimitShares(
                         head.now,
-                        new Parts(Map.of(), Map.of(NODE, 0.01), 0, 0, head.now + 60_000 * MS));
-        assertThat(head.brain().views(head.now).get(0).coldRoom()).isLessThan(1);
+                        new Scheduler.LimitShares(
+                                Map.of(), Map.of(NODE, 0.01), 0, 0, head.now + 60_000 * MS));
+        assertThat(head.brain().nodeViews(head.now).get(0).coldCapacityUnits()).isLessThan(1);
     }
 }
--- a/src/test/java/cypressglade/core/NodeDirectoryTest.java
+++ b/src/test/java/cypressglade/core/NodeDirectoryTest.java
@@ -52,8 +52,8 @@
     @Test
     void moduleForgetsANodeThatWentWhileItWasDown() throws Exception {
         AtomicInteger sends = new AtomicInteger();
-        Brain brain =
-                new Brain(
+        SchedulingPolicy brain =
+                new SchedulingPolicy(
                         1,
                         cypressglade.config.Config.read(
                                         java.nio.file.Path.of("deploy/config.example.json"))
@@ -61,16 +61,18 @@
                         new Orders(sends));
         for (int i = 0; i < 10; i++) {
             long now = 1_000_000L * (i + 1);
-            brain.nodes(now, ListKind.FULL, List.of(new NodeEntry(i, 0, State.READY, 0, 1, 0, 0)));
-            brain.request(now, new Request(i, 0, 0, 1, 1, false, false, 7, i + 1, 1, 900_000));
-            brain.probed(now, i, Status.OK, 1000, new float[0]);
-            brain.outcome(
+            brain.updateNodes(
+                    now, ListKind.FULL, List.of(new NodeEntry(i, 0, State.READY, 0, 1, 0, 0)));
+            brain.handleRequest(
+                    now, new Request(i, 0, 0, 1, 1, false, false, 7, i + 1, 1, 900_000));
+            brain.handleProbe(now, i, Status.OK, 1000, new float[0]);
+            brain.handleOutcome(
                     now,
                     new Outcome(i, 0, i, Status.CONNECT_FAILED, 1000, false, 0, 0, new float[0]));
         }
         assertThat(sends).hasPositiveValue();
-        brain.nodes(20_000_000, ListKind.FULL, List.of());
-        assertThat(brain.views(0)).isEmpty();
+        brain.updateNodes(20_000_000, ListKind.FULL, List.of());
+        assertThat(brain.nodeViews(0)).isEmpty();
     }
 
     /** Takes orders and does nothing about them. */
@@ -93,12 +95,12 @@
         public void probe(long node) {}
 
         @Override
-        public void timer(long delayUs, long token) {}
+        public void startTimer(long delayUs, long token) {}
 
         @Override
-        public void tell(long toRank, byte[] text) {}
+        public void sendToPeer(long toRank, byte[] text) {}
 
         @Override
-        public void watch(boolean on) {}
+        public void watchNodeList(boolean on) {}
     }
 }
--- a/src/test/java/cypressglade/core/Head.java
+++ b/src/test/java/cypressglade/core/PolicyHarness.java
@@ -16,9 +16,10 @@
 import java.util.List;
 
 /**
- * One head under test: feeds events to a {@link Brain} and keeps what it orders, as short lines.
+ * One head under test: feeds events to a {@link SchedulingPolicy} and keeps what it orders, as
+ * short lines.
  */
-final class Head implements Scheduler.Actions {
+final class PolicyHarness implements Scheduler.Actions {
     static final int READ = 0;
     static final int WRITE = 1;
     static final int BULK = 2;
@@ -31,7 +32,7 @@
     final List<String> log = new ArrayList<>();
     long now = 1_000_000_000L;
     private final List<long[]> timers = new ArrayList<>();
-    private Brain brain;
+    private SchedulingPolicy brain;
     private final List<Long> asked = new ArrayList<>();
 
     /** Rules and permissions of the head; change before {@link #start}. */
@@ -50,8 +51,8 @@
     int rank;
     double probePrice;
 
-    Head start(int nodes) {
-        brain = new Brain(now, settings(), this);
+    PolicyHarness start(int nodes) {
+        brain = new SchedulingPolicy(now, settings(), this);
         NodeEntry[] entries = new NodeEntry[nodes];
         for (int i = 0; i < nodes; i++) {
             entries[i] = entry(i, State.READY, 0);
@@ -65,7 +66,7 @@
     }
 
     void list(ListKind kind, NodeEntry... entries) {
-        brain.nodes(now, kind, List.of(entries));
+        brain.updateNodes(now, kind, List.of(entries));
     }
 
     void ask(long id, int shard, int type, int plan, double units, long leftMs, long key) {
@@ -81,7 +82,7 @@
             long leftMs,
             long key,
             long volume) {
-        brain.request(
+        brain.handleRequest(
                 now,
                 new Request(
                         id,
@@ -100,11 +101,11 @@
 
     private void answerProbes() {
         while (!asked.isEmpty()) {
-            brain.probed(now, asked.remove(0), Status.OK, MS, new float[0]);
+            brain.handleProbe(now, asked.remove(0), Status.OK, MS, new float[0]);
         }
     }
 
-    Brain brain() {
+    SchedulingPolicy brain() {
         return brain;
     }
 
@@ -113,7 +114,7 @@
     }
 
     void end(long id, int attempt, int shard, Status status, long latencyMs) {
-        brain.outcome(
+        brain.handleOutcome(
                 now,
                 new Outcome(
                         id,
@@ -128,11 +129,11 @@
     }
 
     void withdraw(long id) {
-        brain.withdrawn(now, id);
+        brain.handleWithdrawal(now, id);
     }
 
     void probed(int shard, Status status) {
-        brain.probed(now, 100 + shard, status, MS, new float[0]);
+        brain.handleProbe(now, 100 + shard, status, MS, new float[0]);
     }
 
     /** Lets time pass, with the timers that fall due. */
@@ -150,7 +151,7 @@
             }
             timers.remove(next);
             now = next[0];
-            brain.timer(now, next[1]);
+            brain.handleTimer(now, next[1]);
             answerProbes();
         }
         now = until;
@@ -311,17 +312,17 @@
     }
 
     @Override
-    public void timer(long delayUs, long token) {
+    public void startTimer(long delayUs, long token) {
         timers.add(new long[] {now + delayUs, token});
     }
 
     @Override
-    public void tell(long toRank, byte[] text) {
+    public void sendToPeer(long toRank, byte[] text) {
         log.add("tell " + toRank);
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchNodeList(boolean on) {
         log.add("watch " + on);
     }
 }
--- a/src/test/java/cypressglade/core/BrainTest.java
+++ b/src/test/java/cypressglade/core/SchedulingPolicyTest.java
@@ -1,13 +1,13 @@
 package cypressglade.core;
 
-import static cypressglade.core.Head.BULK;
-import static cypressglade.core.Head.KEYED;
-import static cypressglade.core.Head.LIMITED;
-import static cypressglade.core.Head.ORDERED;
-import static cypressglade.core.Head.PLAIN;
-import static cypressglade.core.Head.READ;
-import static cypressglade.core.Head.WRITE;
-import static cypressglade.core.Head.entry;
+import static cypressglade.core.PolicyHarness.BULK;
+import static cypressglade.core.PolicyHarness.KEYED;
+import static cypressglade.core.PolicyHarness.LIMITED;
+import static cypressglade.core.PolicyHarness.ORDERED;
+import static cypressglade.core.PolicyHarness.PLAIN;
+import static cypressglade.core.PolicyHarness.READ;
+import static cypressglade.core.PolicyHarness.WRITE;
+import static cypressglade.core.PolicyHarness.entry;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -21,10 +21,10 @@
 import org.junit.jupiter.api.Test;
 
 /** The mechanism and the rules, through the interface. */
-class BrainTest {
+class SchedulingPolicyTest {
 
     /** Fills a node until the next request is held; returns how many went out. */
-    private static int fill(Head head) {
+    private static int fill(PolicyHarness head) {
         int id = 0;
         while (head.count("send") == id && id < 100) {
             id++;
@@ -36,7 +36,7 @@
 
     @Test
     void heldRequestsLeaveByEarliestDeadline() {
-        Head head = new Head().start(1);
+        PolicyHarness head = new PolicyHarness().start(1);
         int out = fill(head);
         head.ask(501, 0, READ, PLAIN, 1, 1500, 501);
         head.end(1, 0, 0, Status.OK, 40);
@@ -47,7 +47,7 @@
 
     @Test
     void refusesAtOnceWhatIsPredictedToMiss() {
-        Head head = new Head().start(1);
+        PolicyHarness head = new PolicyHarness().start(1);
         for (int id = 1; id <= 60; id++) {
             head.read(id, 0);
         }
@@ -57,7 +57,7 @@
 
     /** Sends that a burst gets out at once after twelve answers of the given time. */
     private static long outAfterAnswersOf(long ms) {
-        Head head = new Head();
+        PolicyHarness head = new PolicyHarness();
         head.heads = 8; // so that the least is one request
         head.start(1);
         for (int id = 1; id <= 12; id++) {
@@ -82,7 +82,7 @@
 
     @Test
     void backgroundIsHeldNotRefusedAndAnsweredBeforeItsDeadline() {
-        Head head = new Head().start(1);
+        PolicyHarness head = new PolicyHarness().start(1);
         fill(head);
         head.probesAnswered = false;
         head.ask(700, 0, BULK, PLAIN, 8, 6000, 700);
@@ -93,7 +93,7 @@
 
     @Test
     void newObjectGoesToTheLessLoadedNode() {
-        Head head = new Head().start(2);
+        PolicyHarness head = new PolicyHarness().start(2);
         for (int id = 1; id <= 3; id++) {
             head.read(id, 0);
         }
@@ -103,7 +103,7 @@
 
     @Test
     void nothingGoesToADrainingNodeAndItsHeldRequestsAreAnswered() {
-        Head head = new Head().start(2);
+        PolicyHarness head = new PolicyHarness().start(2);
         int out = fill(head);
         head.ask(500, 0, READ, PLAIN, 4, 1500, 1);
         head.list(ListKind.DELTA, entry(0, State.DRAINING, 0));
@@ -120,7 +120,7 @@
     @Test
     void unsafeRequestIsRepeatedOnlyWhenItNeverRan() {
         for (Status status : Status.values()) {
-            Head head = new Head().start(2);
+            PolicyHarness head = new PolicyHarness().start(2);
             head.ask(1, 0, WRITE, PLAIN, 2, 3000, 1);
             head.end(1, 0, 0, status, 1);
             head.pass(100);
@@ -135,11 +135,11 @@
 
     @Test
     void keyedRequestIsRefusedAfterAnUnsureOutcomeOnlyInAGroupOfAll() {
-        Head cell = new Head().start(1);
+        PolicyHarness cell = new PolicyHarness().start(1);
         cell.ask(1, 0, KEYED, PLAIN, 2, 3000, 1);
         cell.end(1, 0, 0, Status.TIMEOUT, 10);
         assertEquals(List.of("send 1 0", "fail 1"), cell.log);
-        Head all = new Head();
+        PolicyHarness all = new PolicyHarness();
         all.scope = Scope.ALL;
         all.start(1);
         all.ask(1, 0, KEYED, PLAIN, 2, 3000, 1);
@@ -153,7 +153,7 @@
      */
     @Test
     void oneResetIsTriedAgainWhereTheClassAllowsAndASecondTakesTheNodeForDown() {
-        Head head = new Head().start(1);
+        PolicyHarness head = new PolicyHarness().start(1);
         head.read(1, 0);
         head.end(1, 0, 0, Status.RESET, 10);
         head.ask(2, 0, KEYED, PLAIN, 2, 3000, 1);
@@ -177,7 +177,7 @@
     @Test
     void keyedRequestIsNotRepeatedAtTheEndOfItsKeysTime() {
         for (long waits : new long[] {500, 1500}) { // of 2 s, of which the first half is used
-            Head head = new Head().start(1);
+            PolicyHarness head = new PolicyHarness().start(1);
             head.ask(900, 0, KEYED, PLAIN, 2, 3000, 900);
             int id = 0;
             while (head.count("send") == id + 1) {
@@ -186,7 +186,7 @@
             head.end(1, 0, 0, Status.FULL, 1); // the node rests a little
             head.end(900, 0, 0, Status.RESET, 1);
             assertEquals(1, head.count("send 900"), "held while its node rests");
-            head.now += waits * Head.MS; // the head itself had no time meanwhile
+            head.now += waits * PolicyHarness.MS; // the head itself had no time meanwhile
             for (int done = 2; done < id; done++) {
                 head.end(done, 0, 0, Status.OK, 40);
             }
@@ -197,7 +197,7 @@
 
     @Test
     void keyedNewObjectIsRepeatedAtTheSameNode() {
-        Head head = new Head().start(4);
+        PolicyHarness head = new PolicyHarness().start(4);
         head.ask(1, Scheduler.ANY_SHARD, KEYED, PLAIN, 2, 3000, 1);
         String first = head.log.get(0);
         head.end(1, 0, Integer.parseInt(first.substring(7)), Status.ERROR, 10);
@@ -207,7 +207,7 @@
 
     @Test
     void timeoutAtTheDeadlineIsAnsweredAtOnce() {
-        Head head = new Head().start(1);
+        PolicyHarness head = new PolicyHarness().start(1);
         head.ask(1, 0, WRITE, PLAIN, 2, 3000, 1);
         head.pass(3000);
         head.end(1, 0, 0, Status.TIMEOUT, 3000);
@@ -220,7 +220,7 @@
      */
     @Test
     void attemptsThatAShortPatienceEndedTeachThatTheNodeIsSlow() {
-        Head head = new Head();
+        PolicyHarness head = new PolicyHarness();
         head.probes = false;
         head.start(1);
         List<Long> sent = new ArrayList<>();
@@ -240,7 +240,7 @@
 
     @Test
     void nothingIsSentOrAnsweredAfterWithdrawal() {
-        Head head = new Head().start(1);
+        PolicyHarness head = new PolicyHarness().start(1);
         int out = fill(head);
         head.withdraw(out + 1);
         head.withdraw(1);
@@ -253,7 +253,7 @@
 
     @Test
     void aTryWithAlmostNoTimeLeftIsRefusedAtOnce() {
-        Head head = new Head().start(1);
+        PolicyHarness head = new PolicyHarness().start(1);
         fill(head);
         head.ask(900, 0, READ, PLAIN, 2, 5, 900);
         assertEquals(1, head.answers(900));
@@ -261,7 +261,7 @@
 
     @Test
     void aRepeatWhoseAimHasPassedIsRefusedAtOnce() {
-        Head head = new Head().start(1);
+        PolicyHarness head = new PolicyHarness().start(1);
         head.ask(1, 7, READ, PLAIN, 2, 1500, 1);
         head.ask(2, 7, READ, PLAIN, 2, 1500, 2);
         head.pass(100);
@@ -275,7 +275,7 @@
 
     @Test
     void impatientClientsAreNotTakenForRepeats() {
-        Head head = new Head().start(1);
+        PolicyHarness head = new PolicyHarness().start(1);
         head.ask(1, 0, READ, PLAIN, 2, 1500, 1);
         head.ask(2, 0, READ, PLAIN, 2, 700, 2);
         assertTrue(head.log.contains("send 2 0"));
@@ -285,7 +285,7 @@
     void limitIsKeptOverRestartsAndHeads() {
         double sent = 0;
         for (int start = 0; start < 3; start++) {
-            Head head = new Head();
+            PolicyHarness head = new PolicyHarness();
             head.heads = 2;
             head.start(9);
             for (int id = 1; id <= 500; id++) {
@@ -307,7 +307,7 @@
     void allHeadsTogetherSendLessThanAColdNodeBears() {
         double sum = 0;
         for (int rank = 0; rank < 4; rank++) {
-            Head head = new Head();
+            PolicyHarness head = new PolicyHarness();
             head.heads = 4;
             head.start(1);
             head.list(ListKind.DELTA, entry(0, State.READY, head.now));
@@ -324,7 +324,7 @@
     }
 
     /** Units that one head gets out for a limited volume when all is asked of it at once. */
-    private static double spendAll(Head head, int from) {
+    private static double spendAll(PolicyHarness head, int from) {
         long before = head.count("send");
         for (int id = from; id < from + 40; id++) {
             head.ask(id, id % 9, READ, LIMITED, 2, 1500, id);
@@ -336,12 +336,12 @@
     void restartOfEveryHeadKeepsTheLimitWithinItsSlack() {
         double sent = 0;
         for (int rank = 0; rank < 2; rank++) {
-            Head head = new Head();
+            PolicyHarness head = new PolicyHarness();
             head.heads = 2;
             head.start(9);
             head.pass(20_000); // its store is full
             sent += spendAll(head, 1);
-            Head again = new Head();
+            PolicyHarness again = new PolicyHarness();
             again.heads = 2;
             again.start(9);
             sent += spendAll(again, 1);
@@ -353,7 +353,7 @@
     void manyHeadsTakeTurnsAtAColdNode() {
         double sum = 0;
         for (int rank = 0; rank < 150; rank++) {
-            Head head = new Head();
+            PolicyHarness head = new PolicyHarness();
             head.heads = 150;
             head.rank = rank;
             head.start(10);
@@ -378,7 +378,7 @@
 
     @Test
     void furtherAttemptsStayWithinTheBudgetWhenHeldOnesLeaveLater() {
-        Head head = new Head();
+        PolicyHarness head = new PolicyHarness();
         head.budget = true;
         head.freeResends = 1;
         head.start(1);
@@ -394,7 +394,7 @@
 
     @Test
     void failedConnectionStopsSendsUntilAProbeSucceeds() {
-        Head head = new Head().start(2);
+        PolicyHarness head = new PolicyHarness().start(2);
         head.read(1, 0);
         head.probesAnswered = false;
         head.end(1, 0, 0, Status.CONNECT_FAILED, 250);
@@ -409,7 +409,7 @@
 
     @Test
     void whereProbesAreForbiddenAResetBarsANodeOnlyUntilItsNextTest() {
-        Head head = new Head();
+        PolicyHarness head = new PolicyHarness();
         head.probes = false;
         head.start(2);
         head.read(1, 0);
@@ -432,7 +432,7 @@
 
     @Test
     void nodeThatAnswersWithErrorsDrawsNoNewObjects() {
-        Head head = new Head().start(2);
+        PolicyHarness head = new PolicyHarness().start(2);
         for (int id = 1; id <= 20; id++) {
             head.read(id, 1);
             head.end(id, 0, 1, Status.OK, 40);
@@ -446,7 +446,7 @@
 
     @Test
     void silentNodeGetsNoMoreButTests() {
-        Head head = new Head().start(2);
+        PolicyHarness head = new PolicyHarness().start(2);
         head.read(1, 0);
         head.probesAnswered = false;
         head.pass(450);
@@ -467,7 +467,7 @@
 
     @Test
     void attemptsWhoseAnswersAreLostDoNotFillTheBound() {
-        Head head = new Head();
+        PolicyHarness head = new PolicyHarness();
         head.heads = 8; // so that two may be out at a slow node
         head.start(1);
         head.ask(1, 0, WRITE, PLAIN, 2, 3000, 1);
@@ -483,7 +483,7 @@
 
     @Test
     void requestsOfOneKeyKeepTheirOrderAndRestAfterAnUnsureEnd() {
-        Head head = new Head().start(1);
+        PolicyHarness head = new PolicyHarness().start(1);
         head.ask(1, 0, ORDERED, PLAIN, 1, 3000, 77);
         head.ask(2, 0, ORDERED, PLAIN, 1, 3000, 77);
         head.ask(3, 0, ORDERED, PLAIN, 1, 3000, 78);
@@ -497,7 +497,7 @@
 
     @Test
     void listThatMustBeAskedForIsWatchedAndAskedAgain() {
-        Head head = new Head();
+        PolicyHarness head = new PolicyHarness();
         head.onRequest = true;
         head.start(1);
         head.list(ListKind.FAILED);
@@ -507,7 +507,7 @@
 
     @Test
     void lateAnswersMakeTheLessWorthyGiveWayFirst() {
-        Head head = new Head().start(1);
+        PolicyHarness head = new PolicyHarness().start(1);
         for (int id = 1; id <= 40; id++) {
             head.read(id, 0);
             head.pass(320);
@@ -522,7 +522,7 @@
 
     @Test
     void aLongAimDoesNotFillTheNodePastWhatShortOnesBear() {
-        Head head = new Head().start(1);
+        PolicyHarness head = new PolicyHarness().start(1);
         for (int id = 1; id <= 40; id++) {
             head.ask(id, 0, WRITE, PLAIN, 2, 3000, id);
         }
@@ -533,7 +533,7 @@
 
     @Test
     void aHeadThatKnowsNothingAsksTheNodeFirst() {
-        Head head = new Head();
+        PolicyHarness head = new PolicyHarness();
         head.probesAnswered = false;
         head.start(1);
         head.read(1, 0);
@@ -550,7 +550,7 @@
 
     @Test
     void aNodeWhoseAnswersWereSlowIsTriedAgain() {
-        Head head = new Head().start(1);
+        PolicyHarness head = new PolicyHarness().start(1);
         for (int id = 1; id <= 10; id++) {
             head.read(id, 0);
             head.pass(900);
@@ -563,8 +563,8 @@
 
     @Test
     void pieceJustSentCountsAsLessWork() {
-        Head other = new Head().start(1);
-        Head same = new Head().start(1);
+        PolicyHarness other = new PolicyHarness().start(1);
+        PolicyHarness same = new PolicyHarness().start(1);
         for (int id = 1; id <= 30; id++) {
             other.ask(id, 0, READ, PLAIN, 2, 1500, id);
             same.ask(id, 0, READ, PLAIN, 2, 1500, 1);
@@ -575,7 +575,7 @@
 
     @Test
     void tablesStayBoundedInLongService() throws ReflectiveOperationException {
-        Head head = new Head().start(2);
+        PolicyHarness head = new PolicyHarness().start(2);
         for (int i = 1; i <= 300; i++) {
             head.list(ListKind.FULL, entry(i, State.READY, 0), entry(i + 1, State.READY, 0));
             head.ask(i, i, ORDERED, PLAIN, 2, 1500, i, 1000 + i);
@@ -584,7 +584,7 @@
         }
         for (String table :
                 List.of("nodes", "volumes", "keyRests", "turnedAway", "open", "turns")) {
-            java.lang.reflect.Field field = Brain.class.getDeclaredField(table);
+            java.lang.reflect.Field field = SchedulingPolicy.class.getDeclaredField(table);
             field.setAccessible(true);
             int size = ((java.util.Map<?, ?>) field.get(head.brain())).size();
             assertTrue(size < 60, table + " holds " + size);
@@ -593,7 +593,7 @@
 
     @Test
     void oddEventsNeverThrowAndLeaveNoRequestOpen() {
-        Head head = new Head().start(0);
+        PolicyHarness head = new PolicyHarness().start(0);
         head.read(1, 0);
         head.ask(2, Scheduler.ANY_SHARD, WRITE, PLAIN, 2, 3000, 2);
         head.ask(3, 0, 99, PLAIN, 2, 3000, 2);
@@ -613,9 +613,9 @@
 
     @Test
     void sameEventsGiveTheSameActions() {
-        List<String> first = new Head().start(3).log;
-        Head[] heads = {new Head().start(3), new Head().start(3)};
-        for (Head head : heads) {
+        List<String> first = new PolicyHarness().start(3).log;
+        PolicyHarness[] heads = {new PolicyHarness().start(3), new PolicyHarness().start(3)};
+        for (PolicyHarness head : heads) {
             for (int id = 1; id <= 200; id++) {
                 head.ask(id, id % 4 - 1, id % 3, id % 2, 1 + id % 7, 1500, id / 3);
                 head.pass(7);
--- a/src/test/java/cypressglade/core/SourceLimitsTest.java
+++ b/src/test/java/cypressglade/core/SourceLimitsTest.java
@@ -11,7 +11,8 @@
 class SourceLimitsTest {
     private static final int MOST_LINES = 1030;
     private static final int LONGEST_LINE = 110;
-    private static final Path BRAIN = Path.of("src/main/java/cypressglade/core/Brain.java");
+    private static final Path BRAIN =
+            Path.of("src/main/java/cypressglade/core/SchedulingPolicy.java");
 
     /**
      * Decisions may stand in several modules, so no count is asked of one; what is too large to
@@ -41,6 +42,8 @@
     @Test
     void headerNamesTheInterfaceFile() throws IOException {
         String text = Files.readString(BRAIN);
-        assertTrue(text.substring(0, text.indexOf("class Brain")).contains("Scheduler.java"));
+        assertTrue(
+                text.substring(0, text.indexOf("class SchedulingPolicy"))
+                        .contains("Scheduler.java"));
     }
 }
--- a/src/test/java/cypressglade/learn/LearnerTest.java
+++ b/src/test/java/cypressglade/learn/LearnerTest.java
@@ -214,7 +214,7 @@
                         false,
                         false,
                         0,
-                        view.paceUs(),
+                        view.serviceTimePerUnitUs(),
                         0,
                         0.3,
                         0,
