--- a/src/main/java/cypressglade/core/PendingRequest.java
+++ b/src/main/java/cypressglade/core/PendingRequest.java
@@ -5,36 +5,43 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that this head took and that is not over, or has an attempt out. */
+/**
+ * A request that has no final answer yet or has an attempt in flight, and refused ones that are
+ * remembered to recognize retries. Belongs to the policy's thread; times are in microseconds.
+ */
 final class PendingRequest {
-    // Step in which ends of patience are compared.
-    private static final long SAME_TRY_US = 5_000;
+    // Step in which the expiry times of a request and its retry are compared.
+    private static final long FINGERPRINT_STEP_MICROS = 5_000;
 
     final Request request;
-    final long arrived;
-    final long expiry;
-    final List<SentAttempt> sent = new ArrayList<>(1);
-    RequestClass type;
+    final long arrivedAt;
+    final long expiresAt;
+    final List<SentAttempt> attempts = new ArrayList<>(1); // null where one has ended
+    RequestClass requestClass;
     TrackedVolume volume;
-    TrackedNode node;
-    long firstTry, aim, due, parkedAt, firstSent;
-    double work, worth, reserved;
-    int pushed, outstanding;
-    boolean asked, background, ordered, mayHaveRun, over;
+    TrackedNode node; // in whose queue it is
+    long originalArrivedAt, targetAt, deadline, waitingSince, firstSentAt;
+    double workUnits, worthPerUnit, reservedFraction;
+    int overtakenCount, inFlightAttempts;
+    boolean probeRequested, background, ordered, mayHaveRun, done;
 
     PendingRequest(long now, Request request) {
         this.request = request;
-        arrived = now;
-        firstTry = now;
-        work = request.units();
-        expiry = now + request.remainingUs();
+        arrivedAt = now;
+        originalArrivedAt = now;
+        workUnits = request.units();
+        expiresAt = now + request.remainingUs();
     }
 
-    /** Tells tries of one client apart from all others; steps of the end of patience apart. */
-    long print(int step) {
+    /**
+     * Returns a number that a request has in common with its retries and with few others.
+     *
+     * @param step difference of the expiry, in steps
+     */
+    long retryFingerprint(int step) {
         long what = (request.volume() * 31 + request.key()) * 31 + request.requestClass();
         return (what * 31 + Float.floatToIntBits(request.units())) * 31
-                + expiry / SAME_TRY_US
+                + expiresAt / FINGERPRINT_STEP_MICROS
                 + step;
     }
 }
--- a/src/main/java/cypressglade/core/Scheduler.java
+++ b/src/main/java/cypressglade/core/Scheduler.java
@@ -183,7 +183,7 @@
      * @param plan index into {@link Settings#plans}
      * @param instances how many instances serve requests of the volume; 1 at least
      * @param retry whether the client says that it sent the same request before
-     * @param key the data that it touches; 0: not told
+     * @param key the data that it touches; 0: none
      * @param units its cost, in cost units
      * @param remainingUs time until the client gives up on it
      */
--- a/src/main/java/cypressglade/core/SchedulingPolicy.java
+++ b/src/main/java/cypressglade/core/SchedulingPolicy.java
@@ -11,115 +11,144 @@
 import java.util.stream.Stream;
 
 /**
- * Every decision of cypressglade; the interface is in Scheduler.java. After A. K. Singh,
- * "Performance Isolation in Cloud Storage Systems" (Waterloo, 2013): per node, held requests leave
- * by earliest deadline under a bound on the units out that follows the node's learned speed; what
- * is predicted to miss is refused on arrival. Exceptions are marked where they stand and their
- * conditions are listed in docs/design.md.
+ * Every decision of the scheduler; the interface is in Scheduler.java. Belongs to one thread.
+ *
+ * <p>After A. K. Singh, "Performance Isolation in Cloud Storage Systems" (Waterloo, 2013): queued
+ * requests leave for each node by earliest deadline, under a bound on the units in flight that
+ * follows the learned speed of the node; what is predicted to miss its target latency is refused on
+ * arrival. Exceptions are marked where they are made, and docs/design.md lists their conditions.
  */
 public final class SchedulingPolicy implements Scheduler {
-    static final double US = 1e6; // microseconds in a second
-
-    // The ordinary path.
-    static final double SMOOTHING = 0.2; // least weight of the newest answer
-    private static final double SLOW_SMOOTHING = 0.05; // the same for a node's pace and strain
-    // Memory of what others' load adds to an answer.
-    private static final double MEMORY_US = 500_000;
-    private static final double AVERAGE_SMOOTHING = 0.02; // the same for the average over all nodes
-    static final double FIRST_ANSWERS = 4; // answers that the value at the start counts as
-    // What was heard of a node within this needs no probe.
-    private static final long FRESH_US = 150_000;
-    // The same by the square of a probe's price.
-    private static final double PRICE_US = 1_500_000_000;
-    private static final long ASK_WAIT_US = 30_000; // longest wait for a probe before a decision
-    // Backlog if no probe comes back, in waits for it.
-    private static final double NO_ANSWER_TIMES = 4;
-    private static final double PROBE_TRUST = 0.7; // weight of a probe's time in the backlog
-    // An answer counts as at most so many times what is learned.
-    private static final double SAMPLE_CLIP = 2;
-    static final double FORGET_US = 1_000_000; // an unheard node's drift to the average
-    // Microseconds a unit before anything was heard.
-    private static final double START_PACE_US = 13_000;
-    // How much a request's own units count against those ahead.
-    private static final double OWN_TIMES = 2;
-    private static final double LATENCY_MEANS = 0.3; // latency apart from units, in mean requests
-    private static final double SAME_KEY_PART = 0.4; // work of a piece that the node has just taken
-    // All heads' at a node, which holds few; one each at least.
-    private static final double CONNECTIONS = 28;
-    // Requests that all heads together may always have out.
-    private static final double LEAST_OUT = 12;
-    private static final int PUSH_BACKS = 24; // times that a held request may be overtaken
-    private static final double HERD_SPREAD = 0.03; // chance in placing, against heads herding
-    // Least aim of a background class, in tightest aims.
-    private static final double BACKGROUND_AIM = 2;
-    // Part of its slack in which background may leave.
-    private static final double BACKGROUND_PART = 0.5;
-    // Background moves back by this, to its class deadline.
-    private static final long SHIFT_US = 250_000;
-
-    // Worth: what earns less gets less of the slack (thesis 4.3 refuses the greedy).
-    private static final double SLACK_TOP = 0.9; // part of the aim that the most worthy may take
-    // How fast the part falls with the worth of a unit.
-    private static final double STRAIN_POWER = 1.0;
-    static final double START_STRAIN = 0.3; // when nothing was heard lately
-    // Part of the aim that a repeat must have left.
-    private static final double LEAST_AIM_PART = 0.15;
-    static final double RATE_US = 1_000_000; // memory of a volume's rates
-    // Units a second from which a volume asks for more.
-    private static final double LEAST_EXCESS = 0.1;
-    private static final long EXCESS_GAP_US = 50_000; // between looks at all volumes
-
-    // Health, by symptom.
-
-    // Nothing back for this: longer than healthy pauses.
-    private static final long SILENT_US = 350_000;
-    private static final double SILENT_TIMES = 3; // and so many times the expected answer
-    // How much a node in error is shunned by new objects.
-    private static final double ERROR_TIMES = 20;
-    // Between tests of a silent node by heads in turn.
-    private static final long TEST_GAP_US = 62_500;
-    // Refusals to remember before one that is over is dropped.
-    private static final int LEAST_TURNED = 64;
-    static final double DEMAND_US = 5_000_000; // memory of what this head is asked for
-    private static final long FULL_REST_US = 30_000; // rest after a node turned a request away
-    // How often held requests and silent nodes are looked at.
-    private static final long TICK_US = 10_000;
-    private static final long LEAST_ADVICE_US = 50_000; // shortest advice to a refused client
-    private static final long WATCH_AGAIN_US = 500_000; // before asking again for a failed list
-
-    private static final long TICK = 1, WATCH = 2;
+    /** Times are in microseconds, rates in units a second. */
+    static final double MICROS_PER_SECOND = 1e6;
+
+    // Estimates of a node's speed. The bound on units in flight, the predicted completion times and
+    // the averages over all nodes come from them.
+
+    // Minimum weight of the newest sample in an estimate that follows changes quickly.
+    static final double MIN_FAST_WEIGHT = 0.2;
+    // The same for a node's service time per unit and latency ratio, which are learned slowly.
+    private static final double MIN_SLOW_WEIGHT = 0.05;
+    private static final double MIN_AVERAGE_WEIGHT = 0.02; // the same for averages over all nodes
+    // Time constant of the memory of what the load of others adds to an answer.
+    private static final double BACKLOG_MEMORY_MICROS = 500_000;
+    static final double PRIOR_ANSWERS = 4; // that an estimate's initial value counts as
+    // An answer counts as at most so many times the learned value.
+    private static final double MAX_SAMPLE_RATIO = 2;
+    // Time constant with which a node that is not heard of drifts to the average of all.
+    static final double FORGET_MICROS = 1_000_000;
+    // Service time per unit before the first answer.
+    private static final double INITIAL_SERVICE_TIME_MICROS = 13_000;
+    static final double INITIAL_LATENCY_RATIO = 0.3; // where no answer came lately
+
+    // Predicted completion times and the choice of a node for a new object.
+
+    // How much a request's own units count against those ahead of it.
+    private static final double OWN_UNITS_FACTOR = 2;
+    // Latency that doesn't depend on units, in mean requests.
+    private static final double LATENCY_MEAN_REQUESTS = 0.3;
+    private static final double SAME_KEY_WORK_FRACTION = 0.4; // for a key that the node just served
+    // Random part in the choice of a node, so that instances don't all choose the same one.
+    private static final double PLACEMENT_JITTER_RATIO = 0.03;
+    private static final double ERROR_PENALTY_FACTOR = 20; // on the error ratio of a node
+
+    // Admission by worth: requests that earn less per unit get less of the slack (section 4.3 of
+    // the thesis refuses greedy requests).
+
+    // Part of the target latency that the requests of the highest worth may take.
+    private static final double MAX_SLACK_FRACTION = 0.9;
+    private static final double WORTH_EXPONENT = 1.0; // how fast it falls with the worth of a unit
+    // Part of the target latency that must be left when a client's retry arrives.
+    private static final double MIN_RETRY_FRACTION = 0.15;
+    // Refusals to remember, for recognizing retries, before expired ones are removed.
+    private static final int MIN_REMEMBERED_REFUSALS = 64;
+    private static final long MIN_RETRY_ADVICE_MICROS = 50_000;
+
+    // Rates of volumes and of the whole demand.
+
+    static final double RATE_MEMORY_MICROS = 1_000_000; // time constant of a volume's rates
+    // Units a second beyond the reserve from which a volume counts as asking for more.
+    private static final double MIN_EXCESS_RATE = 0.1;
+    private static final long EXCESS_CHECK_INTERVAL_MICROS = 50_000;
+    static final double DEMAND_MEMORY_MICROS = 5_000_000; // time constant of this instance's demand
+
+    // Bounds on attempts in flight and on queues, and background classes.
+
+    // Connections of all instances together to a node, which accepts few; one each at least.
+    private static final double MAX_CONNECTIONS = 28;
+    // Requests that all instances together may always have in flight at a node.
+    private static final double MIN_IN_FLIGHT_REQUESTS = 12;
+    private static final int MAX_OVERTAKES = 24; // of one queued request
+    // Minimum target latency of a background class, in multiples of the shortest.
+    private static final double MIN_BACKGROUND_TARGET_RATIO = 2;
+    // Part of its slack in which a background request may leave.
+    private static final double BACKGROUND_FRACTION = 0.5;
+    // By how much a background request steps back at a time, up to the deadline of its class.
+    private static final long BACKGROUND_DEFERRAL_MICROS = 250_000;
+
+    // Probes before a decision.
+
+    // A node of which a sign of life came within this time needs no probe.
+    private static final long MIN_FRESH_MICROS = 150_000;
+    // That time grows by the square of what a probe costs in mean requests.
+    private static final double FRESH_MICROS_PER_SQUARED_COST = 1_500_000_000;
+    private static final long MAX_PROBE_WAIT_MICROS = 30_000;
+    // Backlog of a node whose probe doesn't come back, in multiples of the wait for it.
+    private static final double LOST_PROBE_FACTOR = 4;
+    private static final double PROBE_SAMPLE_WEIGHT = 0.7; // of a probe's time in the backlog
+
+    // Failures of nodes, recognized by their symptoms.
+
+    // A node is silent when nothing comes back for this long, which healthy pauses stay below,
+    private static final long MIN_SILENCE_MICROS = 350_000;
+    // and for so many times the expected answer time.
+    private static final double SILENCE_LATENCY_FACTOR = 3;
+    // Interval between probes of a silent node by the instances in turn.
+    private static final long SILENT_PROBE_INTERVAL_MICROS = 62_500;
+    private static final long FULL_NODE_PAUSE_MICROS = 30_000; // after a node refused as full
+
+    // Timers.
+
+    private static final long TICK_MICROS = 10_000; // between checks of queues and silent nodes
+    private static final long LIST_RETRY_MICROS = 500_000; // before requesting a failed list again
+    private static final long TICK_TOKEN = 1, LIST_RETRY_TOKEN = 2;
 
     Settings settings;
     Limits limits;
-    Scheduler.LimitShares parts = Scheduler.LimitShares.EVEN;
+    LimitShares limitShares = LimitShares.EVEN;
     private final Actions actions;
     private final SplittableRandom random;
     private final Map<Long, TrackedNode> nodes = new LinkedHashMap<>();
-    final Map<Integer, TrackedNode> shards = new TreeMap<>();
-    private final Map<Long, PendingRequest> open = new HashMap<>();
+    final Map<Integer, TrackedNode> nodesByShard = new TreeMap<>();
+    private final Map<Long, PendingRequest> openRequests = new HashMap<>();
     private final Map<Long, TrackedVolume> volumes = new LinkedHashMap<>();
-    private final Map<Long, ArrayDeque<PendingRequest>> turns = new HashMap<>();
-    private final Map<Long, Long> keyRests = new HashMap<>();
-    private final ArrayDeque<Long> taken = new ArrayDeque<>(), further = new ArrayDeque<>();
-    private final LinkedHashMap<Long, PendingRequest> turnedAway = new LinkedHashMap<>();
-    private int leastOut, mostOut, queueAt, heldCount, outCount, mostTurned;
-    int answers;
-    final long bornAt;
-    double averagePace = START_PACE_US, averageStrain = START_STRAIN;
+    private final Map<Long, ArrayDeque<PendingRequest>> orderedQueues = new HashMap<>();
+    private final Map<Long, Long> keyPausedUntil = new HashMap<>();
+    private final ArrayDeque<Long> requestTimes = new ArrayDeque<>();
+    private final ArrayDeque<Long> furtherTimes = new ArrayDeque<>();
+    private final LinkedHashMap<Long, PendingRequest> refusedRequests = new LinkedHashMap<>();
+    private int minInFlight, maxInFlight, queueLengthAt;
+    private int waitingCount, inFlightCount, refusedCleanupSize;
+    int answerCount;
+    final long createdAt;
+    // Averages over all nodes.
+    double averageServiceTime = INITIAL_SERVICE_TIME_MICROS;
+    double averageLatencyRatio = INITIAL_LATENCY_RATIO;
     private double averageBacklog;
-    private double leastWorth, mostWorth, topWorth;
-    private double meanExcess; // units beyond the reserves of a volume
-    double asked; // all that was asked for
-    long averageAt, tightestAim;
-    private long askedAt, excessAt, freshUs, testGapUs;
-    private final long[] givenUp = new long[Reason.values().length];
-    private boolean ticking;
+    private double minWorth, maxWorth, maxWorthPerUnit;
+    // Mean over the volumes that ask for more than their reserve, by weight; units a second.
+    private double meanExcessRate;
+    double demandUnits; // units of all requests, with exponential decay
+    long averagesUpdatedAt, minTarget;
+    private long demandUpdatedAt, excessCheckedAt, freshUs, silentProbeGapUs;
+    private final long[] unserved = new long[Reason.values().length];
+    private boolean tickScheduled;
 
     public SchedulingPolicy(long nowUs, Settings settings, Actions actions) {
         this.actions = actions;
         this.random = new SplittableRandom(settings.seed());
-        this.bornAt = this.askedAt = nowUs;
-        this.asked = settings.maxUnits(); // until it is known, much is taken to be asked for
+        this.createdAt = this.demandUpdatedAt = nowUs;
+        this.demandUnits = settings.maxUnits(); // a high demand is assumed until it is known
         applySettings(settings);
         if (settings.listOnRequest()) {
             actions.watchNodeList(true);
@@ -130,35 +159,39 @@
     public void applySettings(Settings next) {
         settings = next;
         limits = next.limits();
-        queueAt = next.loadNames().indexOf("waiting");
+        queueLengthAt = next.loadNames().indexOf("waiting");
         List<RequestClass> classes = settings.classes();
-        tightestAim = classes.stream().mapToLong(RequestClass::targetLatencyUs).min().orElse(1);
-        leastWorth = classes.stream().mapToDouble(RequestClass::worth).min().orElse(0);
-        mostWorth = classes.stream().mapToDouble(RequestClass::worth).max().orElse(1);
-        double dearest = settings.plans().stream().mapToDouble(Plan::worthFactor).max().orElse(1);
-        topWorth = Math.max(mostWorth * dearest, Double.MIN_NORMAL);
-        leastOut = (int) Math.max(1, Math.round(LEAST_OUT / settings.instances()));
-        mostOut =
+        minTarget = classes.stream().mapToLong(RequestClass::targetLatencyUs).min().orElse(1);
+        minWorth = classes.stream().mapToDouble(RequestClass::worth).min().orElse(0);
+        maxWorth = classes.stream().mapToDouble(RequestClass::worth).max().orElse(1);
+        double maxFactor = settings.plans().stream().mapToDouble(Plan::worthFactor).max().orElse(1);
+        maxWorthPerUnit = Math.max(maxWorth * maxFactor, Double.MIN_NORMAL);
+        minInFlight = (int) Math.max(1, Math.round(MIN_IN_FLIGHT_REQUESTS / settings.instances()));
+        maxInFlight =
                 (int)
                         Math.max(
                                 1,
-                                CONNECTIONS / settings.instances() * limits.streamsPerConnection());
-        freshUs = Math.max(FRESH_US, (long) (Math.pow(settings.probeCost(), 2) * PRICE_US));
-        testGapUs = TEST_GAP_US * Math.max(4, settings.instances());
+                                MAX_CONNECTIONS
+                                        / settings.instances()
+                                        * limits.streamsPerConnection());
+        freshUs =
+                Math.max(
+                        MIN_FRESH_MICROS,
+                        (long) (Math.pow(settings.probeCost(), 2) * FRESH_MICROS_PER_SQUARED_COST));
+        silentProbeGapUs = SILENT_PROBE_INTERVAL_MICROS * Math.max(4, settings.instances());
     }
 
     @Override
-    public void applyLimitShares(long now, Scheduler.LimitShares next) {
-        volumes.values().forEach(volume -> volume.refill(now)); // by the part that held until now
-        parts = next;
+    public void applyLimitShares(long now, LimitShares next) {
+        volumes.values().forEach(volume -> volume.refill(now)); // by the share until now
+        limitShares = next;
     }
 
-    // ---- events
-
     @Override
     public void updateNodes(long now, ListKind kind, List<NodeEntry> entries) {
         if (kind == ListKind.FAILED) {
-            actions.startTimer(WATCH_AGAIN_US, WATCH); // only those that asked are told
+            // Comes only after a subscription.
+            actions.startTimer(LIST_RETRY_MICROS, LIST_RETRY_TOKEN);
             return;
         }
         if (kind != ListKind.DELTA) {
@@ -167,96 +200,101 @@
         for (NodeEntry entry : entries) {
             nodes.computeIfAbsent(entry.node(), address -> new TrackedNode(this)).update(entry);
         }
-        shards.clear();
+        nodesByShard.clear();
         nodes.values().stream()
                 .filter(node -> node.ready)
-                .forEach(node -> shards.put(node.shard, node));
-        nodes.values().stream().filter(node -> !node.ready).forEach(node -> moveHeld(now, node));
-        // also one that is down: nobody asks it
-        nodes.values().removeIf(node -> !node.ready && node.empty());
+                .forEach(node -> nodesByShard.put(node.shard, node));
+        nodes.values().stream().filter(node -> !node.ready).forEach(node -> moveQueued(now, node));
+        // Also one that is down: no request is for it.
+        nodes.values().removeIf(node -> !node.ready && node.isEmpty());
     }
 
     @Override
     public void handleRequest(long now, Request request) {
         if (limits.hasAttemptBudget()) {
-            taken.add(now);
-        }
-        asked = asked * Math.exp(-(now - askedAt) / DEMAND_US) + request.units();
-        askedAt = now;
-        PendingRequest held = new PendingRequest(now, request);
-        open.put(request.id(), held);
+            requestTimes.add(now);
+        }
+        demandUnits =
+                demandUnits * Math.exp(-(now - demandUpdatedAt) / DEMAND_MEMORY_MICROS)
+                        + request.units();
+        demandUpdatedAt = now;
+        PendingRequest pending = new PendingRequest(now, request);
+        openRequests.put(request.id(), pending);
         if (request.requestClass() >= settings.classes().size()
                 || request.plan() >= settings.plans().size()) {
-            giveUp(now, held, 0, Reason.UNKNOWN);
+            answerUnserved(now, pending, 0, Reason.UNKNOWN);
             return;
         }
-        held.volume =
-                volumes.computeIfAbsent(request.volume(), id -> new TrackedVolume(this, now, held));
-        held.volume.heads = Math.max(1, request.instances());
-        held.volume.plan = settings.plans().get(request.plan());
-        held.type = settings.classes().get(request.requestClass());
-        held.background =
-                held.type.effect() == Effect.SAFE
-                        && !held.type.write()
-                        && leastWorth < mostWorth
-                        && held.type.worth() <= leastWorth
-                        && held.type.targetLatencyUs() >= BACKGROUND_AIM * tightestAim;
-        held.aim = firstTry(now, held) + held.type.targetLatencyUs();
-        held.due = Math.min(held.aim, held.expiry);
-        if (held.type.keepOrder() && request.key() != 0) {
-            held.ordered = true;
-            turns.computeIfAbsent(request.key(), key -> new ArrayDeque<>()).add(held);
-        }
-        held.volume.refill(now);
-        held.volume.askedAt = now;
-        held.worth = unitWorth(held);
-        admit(now, held);
-        startTicking();
+        pending.volume =
+                volumes.computeIfAbsent(
+                        request.volume(), id -> new TrackedVolume(this, now, pending));
+        pending.volume.instances = Math.max(1, request.instances());
+        pending.volume.plan = settings.plans().get(request.plan());
+        pending.requestClass = settings.classes().get(request.requestClass());
+        pending.background =
+                pending.requestClass.effect() == Effect.SAFE
+                        && !pending.requestClass.write()
+                        && minWorth < maxWorth
+                        && pending.requestClass.worth() <= minWorth
+                        && pending.requestClass.targetLatencyUs()
+                                >= MIN_BACKGROUND_TARGET_RATIO * minTarget;
+        pending.targetAt = originalArrival(now, pending) + pending.requestClass.targetLatencyUs();
+        pending.deadline = Math.min(pending.targetAt, pending.expiresAt);
+        if (pending.requestClass.keepOrder() && request.key() != 0) {
+            pending.ordered = true;
+            orderedQueues.computeIfAbsent(request.key(), key -> new ArrayDeque<>()).add(pending);
+        }
+        pending.volume.refill(now);
+        pending.volume.lastRequestAt = now;
+        pending.worthPerUnit = worthPerUnit(pending);
+        admit(now, pending);
+        scheduleTick();
     }
 
     @Override
     public void handleOutcome(long now, Outcome outcome) {
-        PendingRequest held = open.get(outcome.requestId());
-        int attempt = outcome.attempt();
-        SentAttempt sent =
-                held == null || attempt >= held.sent.size() ? null : held.sent.set(attempt, null);
-        if (sent == null) {
+        PendingRequest pending = openRequests.get(outcome.requestId());
+        int index = outcome.attempt();
+        SentAttempt attempt =
+                pending == null || index >= pending.attempts.size()
+                        ? null
+                        : pending.attempts.set(index, null);
+        if (attempt == null) {
             return;
         }
-        TrackedNode node = sent.node();
-        held.outstanding--;
-        outCount--;
-        node.drop(sent);
-        learn(now, node, sent, outcome);
-        held.over |= outcome.requestDone();
+        TrackedNode node = attempt.node();
+        pending.inFlightAttempts--;
+        inFlightCount--;
+        node.removeAttempt(attempt);
+        learnOutcome(now, node, attempt, outcome);
+        pending.done |= outcome.requestDone();
         if (outcome.status().mayHaveRun && outcome.status() != Status.OK) {
-            held.mayHaveRun = true;
-            if (held.ordered && outcome.status() != Status.ERROR) {
-                keyRests.values().removeIf(until -> until < now);
-                keyRests.put(
-                        held.request.key(), now + limits.orderedKeyPauseUs()); // it may still run
+            pending.mayHaveRun = true;
+            if (pending.ordered && outcome.status() != Status.ERROR) {
+                keyPausedUntil.values().removeIf(until -> until < now);
+                keyPausedUntil.put(
+                        pending.request.key(), now + limits.orderedKeyPauseUs()); // may still run
             }
         }
-        if (!held.over && held.outstanding == 0) {
-            again(now, held, node, outcome.status());
+        if (!pending.done && pending.inFlightAttempts == 0) {
+            attemptAgain(now, pending, node, outcome.status());
         }
-        forget(now, held);
+        removeIfDone(now, pending);
         dispatch(now, node);
     }
 
     @Override
-    public void handleStreamStart(
-            long now, long requestId, int attempt, long node, long latencyUs) {
-        // The attempt is the client's from here on; its outcome comes with the end of the request.
+    public void handleStreamStart(long now, long id, int attempt, long node, long latencyUs) {
+        // Nothing to decide: the outcome comes with the end of the request.
     }
 
     @Override
     public void handleWithdrawal(long now, long requestId) {
-        PendingRequest held = open.get(requestId);
-        if (held != null) {
-            unqueue(held);
-            held.over = true; // a parked one is passed over when its probe comes back
-            forget(now, held);
+        PendingRequest pending = openRequests.get(requestId);
+        if (pending != null) {
+            dequeue(pending);
+            pending.done = true; // one that awaits a probe is skipped when it ends
+            removeIfDone(now, pending);
         }
     }
 
@@ -270,21 +308,26 @@
         if (status == Status.OK) {
             node.trustedUntil = now + freshUs;
             node.down = false;
-            node.seenAt = now;
-            double queue = queueAt >= 0 && load.length > queueAt ? load[queueAt] : 0;
-            double seen = Math.max(latencyUs, queue * settings.meanUnits() * node.pace(now));
-            node.setBacklog(now, node.backlog(now) + PROBE_TRUST * (seen - node.backlog(now)));
-        }
-        node.guarded &= status != Status.OK && !node.down; // by now this head has seen for itself
-        decideParked(now, node);
+            node.lastSeenAt = now;
+            double queue =
+                    queueLengthAt >= 0 && load.length > queueLengthAt ? load[queueLengthAt] : 0;
+            double seen =
+                    Math.max(
+                            latencyUs, queue * settings.meanUnits() * node.serviceTimePerUnit(now));
+            node.updateBacklog(
+                    now, node.backlog(now) + PROBE_SAMPLE_WEIGHT * (seen - node.backlog(now)));
+        }
+        node.unconfirmed &= status != Status.OK && !node.down; // an own observation
+        admitAwaitingProbe(now, node);
         dispatch(now, node);
     }
 
     /**
-     * Word of others on a node of which nothing came back to this head lately: it stands in for
-     * what is learned until an answer or a probe confirms it, and opens a small window only. Covers
-     * starts; may hurt where the word is wrong, by one probe. On warmth the colder word holds,
-     * whatever is known here.
+     * Takes other instances' observations of a node from which nothing came back to this instance
+     * lately. Until an answer or a probe confirms them they stand in for the node's estimates, and
+     * only a few units may be in flight. Handles starts of instances; may cost one probe when an
+     * observation is wrong. Of two starts of the node the later one holds, whatever this instance
+     * knows of it, as the colder node bears less.
      */
     @Override
     public void handleHint(long now, Hint hint) {
@@ -292,22 +335,22 @@
         if (node == null) {
             return;
         }
-        node.coldFrom = Math.max(node.coldFrom, Math.min(now, hint.startedUs()));
-        if (node.out.isEmpty()
-                && (node.seenAt == Long.MIN_VALUE || now - node.seenAt > FORGET_US)) {
-            if (!node.guarded) { // where it is cold, those who know it may have spent this window
-                node.coldSends.add(new double[] {now, node.coldRoom(now)});
+        node.reportedStartAt = Math.max(node.reportedStartAt, Math.min(now, hint.startedUs()));
+        if (node.inFlight.isEmpty()
+                && (node.lastSeenAt == Long.MIN_VALUE || now - node.lastSeenAt > FORGET_MICROS)) {
+            if (!node.unconfirmed) { // others may have used up this window of a cold node
+                node.coldSends.add(new double[] {now, node.coldCapacity(now)});
             }
-            node.heardAt = now;
-            node.pace = hint.serviceTimePerUnitUs();
+            node.observedAt = now;
+            node.serviceTimePerUnit = hint.serviceTimePerUnitUs();
             node.backlog = hint.backlogUs();
-            node.strain = hint.latencyRatio();
-            node.errors = hint.errorRatio();
-            node.guarded = true;
+            node.latencyRatio = hint.latencyRatio();
+            node.errorRatio = hint.errorRatio();
+            node.unconfirmed = true;
             node.down = hint.silent() && limits.mayProbe();
-            double part = Math.max(AVERAGE_SMOOTHING, 1.0 / (++answers + FIRST_ANSWERS));
-            averagePace += part * (node.pace - averagePace);
-            startTicking();
+            double weight = Math.max(MIN_AVERAGE_WEIGHT, 1.0 / (++answerCount + PRIOR_ANSWERS));
+            averageServiceTime += weight * (node.serviceTimePerUnit - averageServiceTime);
+            scheduleTick();
         }
     }
 
@@ -317,204 +360,232 @@
     }
 
     @Override
-    public Scheduler.QueueView queueView(long now) {
-        int[] held = new int[settings.classes().size()];
-        long[] oldest = new long[held.length];
+    public QueueView queueView(long now) {
+        int[] waiting = new int[settings.classes().size()];
+        long[] oldest = new long[waiting.length];
         for (TrackedNode node : nodes.values()) {
-            Stream.concat(node.queue.stream(), node.parked.stream())
-                    .filter(one -> one.request.requestClass() < held.length)
-                    .forEach(one -> count(now, one, held, oldest));
+            Stream.concat(node.queue.stream(), node.awaitingProbe.stream())
+                    .filter(pending -> pending.request.requestClass() < waiting.length)
+                    .forEach(pending -> countWaiting(now, pending, waiting, oldest));
         }
-        return new Scheduler.QueueView(held, oldest, givenUp.clone());
+        return new QueueView(waiting, oldest, unserved.clone());
     }
 
-    private static void count(long now, PendingRequest one, int[] held, long[] oldest) {
-        int type = one.request.requestClass();
-        held[type]++;
-        oldest[type] = Math.max(oldest[type], now - one.arrived);
+    private static void countWaiting(
+            long now, PendingRequest pending, int[] waiting, long[] oldest) {
+        int type = pending.request.requestClass();
+        waiting[type]++;
+        oldest[type] = Math.max(oldest[type], now - pending.arrivedAt);
     }
 
     @Override
     public void handleTimer(long now, long token) {
-        if (token == WATCH) {
+        if (token == LIST_RETRY_TOKEN) {
             actions.watchNodeList(true);
             return;
         }
-        ticking = false;
-        if (now - excessAt >= EXCESS_GAP_US) {
-            excessAt = now;
-            volumes.values().removeIf(volume -> volume.forgotten(now));
-            meanExcess =
+        tickScheduled = false;
+        if (now - excessCheckedAt >= EXCESS_CHECK_INTERVAL_MICROS) {
+            excessCheckedAt = now;
+            volumes.values().removeIf(volume -> volume.canBeForgotten(now));
+            meanExcessRate =
                     volumes.values().stream()
-                            .filter(volume -> volume.excess > LEAST_EXCESS)
+                            .filter(volume -> volume.excessRate > MIN_EXCESS_RATE)
                             .mapToDouble(TrackedVolume::excessByWeight)
                             .average()
                             .orElse(0);
         }
         for (TrackedNode node : nodes.values()) {
-            if (node.idle()) {
+            if (node.isIdle()) {
                 continue;
             }
-            if (!node.parked.isEmpty() && now - node.parked.get(0).parkedAt >= ASK_WAIT_US) {
-                node.setBacklog(
+            if (!node.awaitingProbe.isEmpty()
+                    && now - node.awaitingProbe.get(0).waitingSince >= MAX_PROBE_WAIT_MICROS) {
+                node.updateBacklog(
                         now,
                         Math.max(
                                 node.backlog(now),
-                                NO_ANSWER_TIMES * (now - node.parked.get(0).parkedAt)));
-                decideParked(now, node);
+                                LOST_PROBE_FACTOR
+                                        * (now - node.awaitingProbe.get(0).waitingSince)));
+                admitAwaitingProbe(now, node);
             }
-            expire(now, node);
-            writeOffLost(now, node);
-            testSilent(now, node);
+            answerExpired(now, node);
+            dropLostAttempts(now, node);
+            probeIfSilent(now, node);
             dispatch(now, node);
         }
-        startTicking();
+        scheduleTick();
     }
 
-    // ---- admission
-
     /**
-     * When the client first asked: a repeat is for the same piece, and its patience ends when it
-     * did.
+     * Returns when the original of a client's retry arrived: the request that was refused, is like
+     * it and expires at the same time. For other requests this is their own arrival.
      */
-    private long firstTry(long now, PendingRequest held) {
-        if (turnedAway.size() > mostTurned) { // not at each request: a storm leaves thousands here
-            turnedAway.values().removeIf(before -> before.expiry < now);
-            mostTurned = LEAST_TURNED + 2 * turnedAway.size();
+    private long originalArrival(long now, PendingRequest pending) {
+        if (refusedRequests.size() > refusedCleanupSize) { // a retry storm leaves thousands
+            refusedRequests.values().removeIf(before -> before.expiresAt < now);
+            refusedCleanupSize = MIN_REMEMBERED_REFUSALS + 2 * refusedRequests.size();
         }
         for (int step = -1; step <= 1; step++) {
-            PendingRequest before = turnedAway.remove(held.print(step));
-            if (before != null && before.expiry >= now) {
-                held.firstTry = before.firstTry;
+            PendingRequest before = refusedRequests.remove(pending.retryFingerprint(step));
+            if (before != null && before.expiresAt >= now) {
+                pending.originalArrivedAt = before.originalArrivedAt;
                 break;
             }
         }
-        return held.firstTry;
+        return pending.originalArrivedAt;
     }
 
-    /** Takes a request into a node's queue, or refuses it at once. */
-    private void admit(long now, PendingRequest held) {
+    /** Puts a request into a node's queue, lets it await a probe, or refuses it. */
+    private void admit(long now, PendingRequest pending) {
         TrackedNode node =
-                held.request.shard() >= 0 ? shards.get(held.request.shard()) : bestNode(now, held);
-        if (node != null && node.ready && askFirst(now, node, held)) {
+                pending.request.shard() >= 0
+                        ? nodesByShard.get(pending.request.shard())
+                        : chooseNode(now, pending);
+        if (node != null && node.ready && awaitProbeIfStale(now, node, pending)) {
             return;
         }
-        // A late try may have a few milliseconds left: held, it would be over before the next look.
+        // A late retry with a few milliseconds left would expire in the queue before the next tick.
         double wait =
                 Math.max(
-                        2 * TICK_US,
-                        held.volume.limitWait(now, held.volume.pending + held.request.units()));
-        if (node == null || !usable(now, node)) {
-            giveUp(now, held, 2 * testGapUs, node == null ? Reason.NO_NODE : Reason.SILENT);
-        } else if (held.aim < now + LEAST_AIM_PART * held.type.targetLatencyUs()) {
-            // Past the aim of the first try a repeat earns little, yet costs as much. Covers every
-            // overload in which clients ask again; may hurt where late answers are worth much.
-            giveUp(now, held, 0, Reason.LATE_REPEAT);
-        } else if (node.coldRoom(now) < held.request.units()) {
-            giveUp(now, held, limits.overloadWindowUs(), Reason.COLD);
-        } else if (now + wait > held.due) {
-            giveUp(now, held, (long) Math.min(wait, Integer.MAX_VALUE), Reason.LIMIT);
-        } else if (held.background || fitsAim(now, node, held)) {
-            held.volume.reserve -= held.request.units() * held.reserved;
-            enqueue(node, held);
+                        2 * TICK_MICROS,
+                        pending.volume.limitWait(
+                                now, pending.volume.pendingUnits + pending.request.units()));
+        if (node == null || !isUsable(now, node)) {
+            answerUnserved(
+                    now,
+                    pending,
+                    2 * silentProbeGapUs,
+                    node == null ? Reason.NO_NODE : Reason.SILENT);
+        } else if (pending.targetAt
+                < now + MIN_RETRY_FRACTION * pending.requestClass.targetLatencyUs()) {
+            // A retry after the original's target earns little, yet costs as much. Handles overload
+            // in which clients retry; may reduce what is earned when late answers are worth much.
+            answerUnserved(now, pending, 0, Reason.LATE_REPEAT);
+        } else if (node.coldCapacity(now) < pending.request.units()) {
+            answerUnserved(now, pending, limits.overloadWindowUs(), Reason.COLD);
+        } else if (now + wait > pending.deadline) {
+            answerUnserved(now, pending, (long) Math.min(wait, Integer.MAX_VALUE), Reason.LIMIT);
+        } else if (pending.background || meetsTargets(now, node, pending)) {
+            pending.volume.reserveUnits -= pending.request.units() * pending.reservedFraction;
+            enqueue(node, pending);
             dispatch(now, node);
         }
     }
 
     /**
-     * Refuses what is predicted to miss its own aim, to take the room of the more worthy, or to
-     * push an accepted request past its own. Its own work counts against its aim alone, as worth is
-     * by unit. A long aim must not let the less worthy take the room that short ones need, so the
-     * tightest aim counts more the less the worth.
+     * Refuses a request that is predicted to miss its target latency, to take capacity that
+     * requests of higher worth need, or to delay an accepted request past its own target. Its own
+     * work counts against its own target only, as worth is by unit. The slack is a part of the
+     * shortest target latency of all classes, the smaller the lower the worth: requests with a long
+     * target must not take the capacity that those with a short one need. Returns false if refused.
      */
-    private boolean fitsAim(long now, TrackedNode node, PendingRequest held) {
-        held.work = held.request.units() * (node.takes(held.request.key()) ? SAME_KEY_PART : 1);
-        double ahead = node.heldAhead(held);
-        double over = finish(now, node, held, ahead) - (held.aim - now);
+    private boolean meetsTargets(long now, TrackedNode node, PendingRequest pending) {
+        pending.workUnits =
+                pending.request.units()
+                        * (node.noteKey(pending.request.key()) ? SAME_KEY_WORK_FRACTION : 1);
+        double ahead = node.unitsAhead(pending);
+        double lateBy = predictCompletion(now, node, pending, ahead) - (pending.targetAt - now);
         double mean =
                 node.backlog(now)
-                        + span(node.outUnits + ahead, settings.meanUnits()) * node.pace(now);
-        if (over > 0
-                || mean > Math.min(slack(now, node, held.worth) * tightestAim, held.aim - now)
-                || displaces(now, node, held)) {
-            giveUp(now, held, (long) over, Reason.CROWDED);
+                        + effectiveUnits(node.inFlightUnits + ahead, settings.meanUnits())
+                                * node.serviceTimePerUnit(now);
+        if (lateBy > 0
+                || mean
+                        > Math.min(
+                                slackFraction(now, node, pending.worthPerUnit) * minTarget,
+                                pending.targetAt - now)
+                || delaysAcceptedRequest(now, node, pending)) {
+            answerUnserved(now, pending, (long) lateBy, Reason.CROWDED);
             return false;
         }
         return true;
     }
 
     /**
-     * A head among many hears a node so seldom that what it knows is old: it asks first, and the
-     * request waits. Covers crowds, pauses and silence that begin between two requests; costs a
-     * probe and its way.
+     * Probes the node first, while the request waits, if what is known of it is old. One of many
+     * instances receives answers of a node so seldom that its estimates are stale. Handles
+     * overload, pauses and silence that begin between two requests; costs a probe and its round
+     * trip.
      */
-    private boolean askFirst(long now, TrackedNode node, PendingRequest held) {
-        boolean known =
-                now - node.seenAt < freshUs && node.seenAt != Long.MIN_VALUE && usable(now, node);
-        if (!limits.mayProbe() || held.asked || known || now + 2 * ASK_WAIT_US > held.due) {
+    private boolean awaitProbeIfStale(long now, TrackedNode node, PendingRequest pending) {
+        boolean fresh =
+                now - node.lastSeenAt < freshUs
+                        && node.lastSeenAt != Long.MIN_VALUE
+                        && isUsable(now, node);
+        if (!limits.mayProbe()
+                || pending.probeRequested
+                || fresh
+                || now + 2 * MAX_PROBE_WAIT_MICROS > pending.deadline) {
             return false;
         }
-        held.asked = true;
-        node.parked.add(held);
-        held.parkedAt = now;
-        heldCount++;
-        if (node.probedAt == Long.MIN_VALUE || now - node.probedAt > testGapUs) {
+        pending.probeRequested = true;
+        node.awaitingProbe.add(pending);
+        pending.waitingSince = now;
+        waitingCount++;
+        if (node.probedAt == Long.MIN_VALUE || now - node.probedAt > silentProbeGapUs) {
             node.probedAt = now;
             actions.probe(node.address);
         }
         return true;
     }
 
-    private void decideParked(long now, TrackedNode node) {
-        List<PendingRequest> waiting = new ArrayList<>(node.parked);
-        node.parked.clear();
-        heldCount -= waiting.size();
-        waiting.stream().filter(held -> !held.over).forEach(held -> admit(now, held));
+    private void admitAwaitingProbe(long now, TrackedNode node) {
+        List<PendingRequest> waiting = new ArrayList<>(node.awaitingProbe);
+        node.awaitingProbe.clear();
+        waitingCount -= waiting.size();
+        waiting.stream().filter(pending -> !pending.done).forEach(pending -> admit(now, pending));
     }
 
-    /**
-     * Predicted time until the request completes: what is ahead over the speed, plus the latency.
-     */
-    private double finish(long now, TrackedNode node, PendingRequest held, double heldAhead) {
-        return node.backlog(now) + span(node.outUnits + heldAhead, held.work) * node.pace(now);
+    /** Returns the predicted time until completion: units ahead by the speed, plus latency. */
+    private double predictCompletion(
+            long now, TrackedNode node, PendingRequest pending, double queuedUnits) {
+        return node.backlog(now)
+                + effectiveUnits(node.inFlightUnits + queuedUnits, pending.workUnits)
+                        * node.serviceTimePerUnit(now);
     }
 
     /**
-     * Units that count for a request's completion: those ahead, its own, and a part for the
-     * latency. Its own count more, as one core serves a request while all cores share the queue and
-     * others run beside it.
+     * Returns the units that count for a request's completion: those ahead, its own, and some for
+     * the latency. Its own count more, as one core serves the request while all cores share the
+     * queue, and as others run beside it.
      */
-    private double span(double ahead, double own) {
-        return Math.max(OWN_TIMES * own, ahead + own) + LATENCY_MEANS * settings.meanUnits();
+    private double effectiveUnits(double ahead, double own) {
+        return Math.max(OWN_UNITS_FACTOR * own, ahead + own)
+                + LATENCY_MEAN_REQUESTS * settings.meanUnits();
     }
 
-    /** Whether an accepted request that is worth as much would be pushed past its own deadline. */
-    private boolean displaces(long now, TrackedNode node, PendingRequest held) {
-        double ahead = node.outUnits;
-        double pace = node.pace(now);
+    /** Whether an accepted request that is worth as much would be delayed past its deadline. */
+    private boolean delaysAcceptedRequest(long now, TrackedNode node, PendingRequest pending) {
+        double ahead = node.inFlightUnits;
+        double serviceTime = node.serviceTimePerUnit(now);
         for (PendingRequest other : node.queue) {
-            double alone = now + node.backlog(now) + span(ahead, other.work) * pace;
-            ahead += other.work;
-            if (other.due > held.due
-                    && other.worth >= held.worth
+            double alone =
+                    now + node.backlog(now) + effectiveUnits(ahead, other.workUnits) * serviceTime;
+            ahead += other.workUnits;
+            if (other.deadline > pending.deadline
+                    && other.worthPerUnit >= pending.worthPerUnit
                     && !other.background
-                    && alone <= other.due
-                    && alone + held.work * pace > other.due) {
+                    && alone <= other.deadline
+                    && alone + pending.workUnits * serviceTime > other.deadline) {
                 return true;
             }
         }
         return false;
     }
 
-    private TrackedNode bestNode(long now, PendingRequest held) {
+    private TrackedNode chooseNode(long now, PendingRequest pending) {
         TrackedNode best = null;
         double least = Double.MAX_VALUE;
-        for (TrackedNode node : shards.values()) {
-            if (usable(now, node) && node.coldRoom(now) >= held.request.units()) {
-                double finish = finish(now, node, held, node.heldAhead(held));
-                finish *= 1 + HERD_SPREAD * random.nextDouble() + ERROR_TIMES * node.errors;
-                if (finish < least) {
-                    least = finish;
+        for (TrackedNode node : nodesByShard.values()) {
+            if (isUsable(now, node) && node.coldCapacity(now) >= pending.request.units()) {
+                double completion = predictCompletion(now, node, pending, node.unitsAhead(pending));
+                completion *=
+                        1
+                                + PLACEMENT_JITTER_RATIO * random.nextDouble()
+                                + ERROR_PENALTY_FACTOR * node.errorRatio;
+                if (completion < least) {
+                    least = completion;
                     best = node;
                 }
             }
@@ -522,245 +593,258 @@
         return best;
     }
 
-    /** Part of the aim for what is ahead: the more crowded, the sooner the less worthy give way. */
-    private double slack(long now, TrackedNode node, double worth) {
-        return SLACK_TOP * Math.pow(worth, STRAIN_POWER * node.strain(now));
+    /**
+     * Returns the part of the target latency that units ahead may take. The later a node answers,
+     * the smaller it is for requests of low worth.
+     */
+    private double slackFraction(long now, TrackedNode node, double worth) {
+        return MAX_SLACK_FRACTION * Math.pow(worth, WORTH_EXPONENT * node.latencyRatio(now));
     }
 
     /**
-     * Worth of one unit against the most that any can earn: class, plan, and what is due to the
-     * volume.
+     * Returns the worth of one unit as a fraction of the highest that any can have, by class, plan,
+     * and the volume's reserve and excess. Counts the request into the volume's excess.
      */
-    private double unitWorth(PendingRequest held) {
-        TrackedVolume volume = held.volume;
-        double units = held.request.units();
-        double reserved = Math.min(1, Math.max(0, volume.reserve / units));
+    private double worthPerUnit(PendingRequest pending) {
+        TrackedVolume volume = pending.volume;
+        double units = pending.request.units();
+        double reserved = Math.min(1, Math.max(0, volume.reserveUnits / units));
         double beyond = settings.fairWorth();
         double excess = volume.excessByWeight();
-        if (excess > meanExcess && meanExcess > 0) {
-            beyond = Math.max(settings.spareWorth(), beyond * meanExcess / excess);
+        if (excess > meanExcessRate && meanExcessRate > 0) {
+            beyond = Math.max(settings.spareWorth(), beyond * meanExcessRate / excess);
         }
-        held.reserved = reserved;
-        volume.excess += units * (1 - reserved) * US / RATE_US;
+        pending.reservedFraction = reserved;
+        volume.excessRate += units * (1 - reserved) * MICROS_PER_SECOND / RATE_MEMORY_MICROS;
         double worth =
                 (reserved + (1 - reserved) * beyond)
-                        * held.type.worth()
+                        * pending.requestClass.worth()
                         * volume.plan.worthFactor();
-        return worth / topWorth;
+        return worth / maxWorthPerUnit;
     }
 
-    // ---- sending
-
-    private void enqueue(TrackedNode node, PendingRequest held) {
+    private void enqueue(TrackedNode node, PendingRequest pending) {
         int at = node.queue.size();
         while (at > 0
-                && node.queue.get(at - 1).due > held.due
-                && node.queue.get(at - 1).pushed < PUSH_BACKS) {
+                && node.queue.get(at - 1).deadline > pending.deadline
+                && node.queue.get(at - 1).overtakenCount < MAX_OVERTAKES) {
             at--;
-            node.queue.get(at).pushed++;
+            node.queue.get(at).overtakenCount++;
         }
-        node.queue.add(at, held);
-        held.node = node;
-        held.volume.pending += held.sent.isEmpty() ? held.request.units() : 0;
-        heldCount++;
+        node.queue.add(at, pending);
+        pending.node = node;
+        pending.volume.pendingUnits += pending.attempts.isEmpty() ? pending.request.units() : 0;
+        waitingCount++;
     }
 
-    private void unqueue(PendingRequest held) {
-        if (held.node != null) {
-            held.node.queue.remove(held);
-            held.node = null;
-            held.volume.pending -= held.sent.isEmpty() ? held.request.units() : 0;
-            heldCount--;
+    private void dequeue(PendingRequest pending) {
+        if (pending.node != null) {
+            pending.node.queue.remove(pending);
+            pending.node = null;
+            pending.volume.pendingUnits -= pending.attempts.isEmpty() ? pending.request.units() : 0;
+            waitingCount--;
         }
     }
 
     private void dispatch(long now, TrackedNode node) {
         int i = 0;
-        while (i < node.queue.size() && node.ready && now >= node.restUntil) {
-            PendingRequest held = node.queue.get(i);
-            if (!mayGo(now, held) || node.coldRoom(now) < held.request.units()) {
+        while (i < node.queue.size() && node.ready && now >= node.pausedUntil) {
+            PendingRequest pending = node.queue.get(i);
+            if (!mayLeave(now, pending) || node.coldCapacity(now) < pending.request.units()) {
                 i++;
-            } else if (!held.sent.isEmpty() && !mayTryFurther(now, held)) {
-                giveUp(now, held, FULL_REST_US, Reason.BUDGET); // it was there when this was held
-            } else if (!held.background || !shift(node, held, i)) {
-                // What a silent node has out is lost or stuck: it keeps out nothing that a probe
-                // allows.
-                if (!usable(now, node) || !silent(now, node) && !fits(now, node, held)) {
+            } else if (!pending.attempts.isEmpty() && !mayAttemptFurther(now, pending)) {
+                answerUnserved(
+                        now,
+                        pending,
+                        FULL_NODE_PAUSE_MICROS,
+                        Reason.BUDGET); // was left when this was queued
+            } else if (!pending.background || !deferBackground(node, pending, i)) {
+                // What is in flight at a silent node is lost or stuck and must not block requests
+                // that a good probe allows.
+                if (!isUsable(now, node)
+                        || !isSilent(now, node) && !hasCapacity(now, node, pending)) {
                     return;
                 }
-                unqueue(held);
-                send(now, node, held);
+                dequeue(pending);
+                sendAttempt(now, node, pending);
             }
         }
     }
 
     /**
-     * Best effort: background work steps behind the others that wait, never past its class
-     * deadline.
+     * Moves a background request behind others that wait, never past its class deadline. Returns
+     * whether its place in the queue changed.
      */
-    private boolean shift(TrackedNode node, PendingRequest held, int at) {
-        long last = Math.min(held.arrived + held.type.deadlineUs(), held.expiry);
-        if (held.due >= last || at + 1 >= node.queue.size() || node.queue.get(at + 1).background) {
+    private boolean deferBackground(TrackedNode node, PendingRequest pending, int at) {
+        long last =
+                Math.min(pending.arrivedAt + pending.requestClass.deadlineUs(), pending.expiresAt);
+        if (pending.deadline >= last
+                || at + 1 >= node.queue.size()
+                || node.queue.get(at + 1).background) {
             return false;
         }
-        held.due = Math.min(last, held.due + SHIFT_US);
+        pending.deadline = Math.min(last, pending.deadline + BACKGROUND_DEFERRAL_MICROS);
         node.queue.remove(at);
         int to = at;
-        while (to < node.queue.size() && node.queue.get(to).due <= held.due) {
+        while (to < node.queue.size() && node.queue.get(to).deadline <= pending.deadline) {
             to++;
         }
-        node.queue.add(to, held);
+        node.queue.add(to, pending);
         return to != at;
     }
 
-    /**
-     * Whether the units out stay in bounds; background leaves only while the node answers quickly.
-     */
-    private boolean fits(long now, TrackedNode node, PendingRequest held) {
-        if (held.background) {
-            double quiet =
-                    node.backlog(now) + (node.outUnits + settings.meanUnits()) * node.pace(now);
-            return quiet <= BACKGROUND_PART * slack(now, node, held.worth) * tightestAim
-                    && node.out.size() < mostOut;
+    /** Whether the node may get more in flight; background only while it answers quickly. */
+    private boolean hasCapacity(long now, TrackedNode node, PendingRequest pending) {
+        if (pending.background) {
+            double expectedUs =
+                    node.backlog(now)
+                            + (node.inFlightUnits + settings.meanUnits())
+                                    * node.serviceTimePerUnit(now);
+            return expectedUs
+                            <= BACKGROUND_FRACTION
+                                    * slackFraction(now, node, pending.worthPerUnit)
+                                    * minTarget
+                    && node.inFlight.size() < maxInFlight;
         }
-        return node.out.size() < (node.guarded ? 1 : leastOut)
-                || node.out.size() < mostOut && node.outUnits + held.work <= node.bound(now);
+        return node.inFlight.size() < (node.unconfirmed ? 1 : minInFlight)
+                || node.inFlight.size() < maxInFlight
+                        && node.inFlightUnits + pending.workUnits <= node.maxInFlightUnits(now);
     }
 
-    /** Whether the rules on limits and order let this request go now. */
-    private boolean mayGo(long now, PendingRequest held) {
-        long key = held.request.key();
+    /** Whether the volume's limit and the order of its key allow the request to leave now. */
+    private boolean mayLeave(long now, PendingRequest pending) {
+        long key = pending.request.key();
         boolean turn =
-                !held.ordered
-                        || turns.get(key).peek() == held
-                                && (!held.sent.isEmpty()
-                                        || now >= keyRests.getOrDefault(key, Long.MIN_VALUE));
+                !pending.ordered
+                        || orderedQueues.get(key).peek() == pending
+                                && (!pending.attempts.isEmpty()
+                                        || now >= keyPausedUntil.getOrDefault(key, Long.MIN_VALUE));
         return turn
-                && (!held.sent.isEmpty() || held.volume.limitWait(now, held.request.units()) <= 0);
+                && (!pending.attempts.isEmpty()
+                        || pending.volume.limitWait(now, pending.request.units()) <= 0);
     }
 
-    private void send(long now, TrackedNode node, PendingRequest held) {
-        if (held.sent.isEmpty()) {
-            held.firstSent = now;
-            held.volume.limit -= held.request.units();
+    private void sendAttempt(long now, TrackedNode node, PendingRequest pending) {
+        if (pending.attempts.isEmpty()) {
+            pending.firstSentAt = now;
+            pending.volume.limitUnits -= pending.request.units();
         } else {
-            further.add(now);
+            furtherTimes.add(now);
         }
-        SentAttempt sent =
+        SentAttempt attempt =
                 new SentAttempt(
                         now,
                         node,
-                        held,
-                        span(node.outUnits, held.work),
-                        finish(now, node, held, 0));
-        held.sent.add(sent);
-        held.outstanding++;
-        outCount++;
-        node.out.add(sent);
-        node.outUnits += held.work;
-        node.coldSends.add(new double[] {now, held.request.units()});
-        actions.send(held.request.id(), node.address, 0);
-    }
-
-    /**
-     * Settles a request whose attempt failed: another attempt where the rules allow it, or its
-     * answer.
-     */
-    private void again(long now, PendingRequest held, TrackedNode node, Status status) {
-        boolean retry =
+                        pending,
+                        effectiveUnits(node.inFlightUnits, pending.workUnits),
+                        predictCompletion(now, node, pending, 0));
+        pending.attempts.add(attempt);
+        pending.inFlightAttempts++;
+        inFlightCount++;
+        node.inFlight.add(attempt);
+        node.inFlightUnits += pending.workUnits;
+        node.coldSends.add(new double[] {now, pending.request.units()});
+        actions.send(pending.request.id(), node.address, 0);
+    }
+
+    /** Queues a further attempt after a failed one, where allowed and in time, or answers. */
+    private void attemptAgain(long now, PendingRequest pending, TrackedNode node, Status status) {
+        boolean allowed =
                 status != Status.TIMEOUT
                         && status != Status.MOOT
-                        && held.sent.size() < limits.maxAttempts()
-                        && mayTryFurther(now, held);
+                        && pending.attempts.size() < limits.maxAttempts()
+                        && mayAttemptFurther(now, pending);
         TrackedNode next =
-                retry && held.request.shard() < 0 && !held.mayHaveRun ? bestNode(now, held) : node;
-        if (retry
+                allowed && pending.request.shard() < 0 && !pending.mayHaveRun
+                        ? chooseNode(now, pending)
+                        : node;
+        if (allowed
                 && next != null
-                && usable(now, next)
-                && now + finish(now, next, held, next.heldAhead(held)) <= held.due) {
-            enqueue(next, held);
+                && isUsable(now, next)
+                && now + predictCompletion(now, next, pending, next.unitsAhead(pending))
+                        <= pending.deadline) {
+            enqueue(next, pending);
             dispatch(now, next);
         } else {
-            giveUp(now, held, FULL_REST_US, Reason.ATTEMPT_FAILED);
+            answerUnserved(now, pending, FULL_NODE_PAUSE_MICROS, Reason.ATTEMPT_FAILED);
         }
     }
 
     /**
-     * The class and the budget of further attempts; asked again when a held one leaves, windows
-     * move on.
+     * Whether the class and the budget of further attempts allow one more. To be checked again when
+     * a queued one leaves, as the budget window has moved by then.
      */
-    private boolean mayTryFurther(long now, PendingRequest held) {
+    private boolean mayAttemptFurther(long now, PendingRequest pending) {
         boolean repeatable =
-                !held.mayHaveRun
-                        || held.type.effect() == Effect.SAFE
-                        || held.type.effect() == Effect.KEYED
-                                && now - held.firstSent < held.type.keyTtlUs() / 2;
-        further.removeIf(at -> at < now - limits.budgetWindowUs());
-        taken.removeIf(at -> at < now - limits.budgetWindowUs() + settings.tickUs());
+                !pending.mayHaveRun
+                        || pending.requestClass.effect() == Effect.SAFE
+                        || pending.requestClass.effect() == Effect.KEYED
+                                && now - pending.firstSentAt < pending.requestClass.keyTtlUs() / 2;
+        furtherTimes.removeIf(at -> at < now - limits.budgetWindowUs());
+        requestTimes.removeIf(at -> at < now - limits.budgetWindowUs() + settings.tickUs());
         return repeatable
                 && (!limits.hasAttemptBudget()
-                        || further.size() + 1
+                        || furtherTimes.size() + 1
                                 <= limits.freeFurtherAttempts()
-                                        + limits.furtherAttemptsRatio() * taken.size());
+                                        + limits.furtherAttemptsRatio() * requestTimes.size());
     }
 
-    /**
-     * The final answer, at once: refused where that is allowed, failed where the work may have run.
-     */
-    private void giveUp(long now, PendingRequest held, long adviceUs, Reason reason) {
-        givenUp[reason.ordinal()]++;
-        unqueue(held);
-        held.over = true;
+    /** Gives the final answer: refused where that is allowed, failed where it may have run. */
+    private void answerUnserved(long now, PendingRequest pending, long adviceUs, Reason reason) {
+        unserved[reason.ordinal()]++;
+        dequeue(pending);
+        pending.done = true;
         boolean harmless =
-                held.sent.isEmpty()
-                        || !held.mayHaveRun && held.outstanding == 0
-                        || held.type.effect() == Effect.SAFE
-                        || held.type.effect() == Effect.KEYED && held.type.scope() == Scope.ALL;
+                pending.attempts.isEmpty()
+                        || !pending.mayHaveRun && pending.inFlightAttempts == 0
+                        || pending.requestClass.effect() == Effect.SAFE
+                        || pending.requestClass.effect() == Effect.KEYED
+                                && pending.requestClass.scope() == Scope.ALL;
         if (harmless) {
-            long advice = Math.min(Math.max(adviceUs, LEAST_ADVICE_US), limits.maxRetryAfterUs());
-            actions.refuse(held.request.id(), limits.mayAdviseRetry() ? advice : 0);
+            long advice =
+                    Math.min(Math.max(adviceUs, MIN_RETRY_ADVICE_MICROS), limits.maxRetryAfterUs());
+            actions.refuse(pending.request.id(), limits.mayAdviseRetry() ? advice : 0);
         } else {
-            actions.fail(held.request.id());
+            actions.fail(pending.request.id());
         }
-        turnedAway.put(held.print(0), held);
-        forget(now, held);
+        refusedRequests.put(pending.retryFingerprint(0), pending);
+        removeIfDone(now, pending);
     }
 
-    private void forget(long now, PendingRequest held) {
-        if (held.over && held.outstanding == 0) {
-            open.remove(held.request.id());
-            if (held.ordered) {
-                turns.computeIfPresent(
-                        held.request.key(),
-                        (key, turn) -> turn.remove(held) && turn.isEmpty() ? null : turn);
+    private void removeIfDone(long now, PendingRequest pending) {
+        if (pending.done && pending.inFlightAttempts == 0) {
+            openRequests.remove(pending.request.id());
+            if (pending.ordered) {
+                orderedQueues.computeIfPresent(
+                        pending.request.key(),
+                        (key, turn) -> turn.remove(pending) && turn.isEmpty() ? null : turn);
             }
         }
     }
 
-    // ---- nodes
-
-    private void learn(long now, TrackedNode node, SentAttempt sent, Outcome outcome) {
+    private void learnOutcome(long now, TrackedNode node, SentAttempt attempt, Outcome outcome) {
         if (outcome.volumeUse() > 0) {
-            sent.held().volume.meter(outcome.volumeUse() - 1);
+            attempt.pending().volume.learnServedRate(outcome.volumeUse() - 1);
         }
         switch (outcome.status()) {
             case OK -> {
-                heard(now, node, false);
-                sent.held().volume.servedHere += sent.held().request.units() / RATE_US * US;
-                teach(now, node, sent, outcome.latencyUs());
+                noteAnswer(now, node, false);
+                attempt.pending().volume.servedHereRate +=
+                        attempt.pending().request.units() / RATE_MEMORY_MICROS * MICROS_PER_SECOND;
+                learnSpeed(now, node, attempt, outcome.latencyUs());
             }
-            case ERROR -> heard(now, node, true);
+            case ERROR -> noteAnswer(now, node, true);
             case TIMEOUT -> {
-                // Or only what came in time would be learned from, and clients of little patience
-                // would make a crowded node look quick. Covers those; a hang is told by silence and
-                // teaches no speed.
-                if (outcome.latencyUs() > sent.expected() && outcome.latencyUs() < SILENT_US) {
-                    teach(now, node, sent, outcome.latencyUs());
+                // If only answers in time counted, clients with short deadlines would make an
+                // overloaded node look fast. A hang shows as silence and says nothing on speed.
+                if (outcome.latencyUs() > attempt.expectedUs()
+                        && outcome.latencyUs() < MIN_SILENCE_MICROS) {
+                    learnSpeed(now, node, attempt, outcome.latencyUs());
                 }
             }
-            case FULL -> node.restUntil = now + FULL_REST_US;
+            case FULL -> node.pausedUntil = now + FULL_NODE_PAUSE_MICROS;
             case CONNECT_FAILED, RESET -> {
-                // one reset may end its connection only, a second unanswered not
+                // One reset may concern its connection only, a second with no answer between not.
                 node.down =
                         outcome.status() == Status.CONNECT_FAILED || node.resetAt > node.answeredAt;
                 node.resetAt = now;
@@ -770,95 +854,105 @@
     }
 
     /**
-     * Splits an answer's time into what its units explain (the pace, learned slowly) and the rest,
-     * which is the load of other heads, pauses and put-off work (the backlog, learned fast and by
-     * time).
+     * Splits an answer's latency into what its units explain (the service time, learned slowly) and
+     * the rest, which comes from the load of other instances, pauses and deferred work of the node
+     * (the backlog, learned fast and by time).
      */
-    private void teach(long now, TrackedNode node, SentAttempt sent, long latencyUs) {
-        double pace = node.pace(now);
+    private void learnSpeed(long now, TrackedNode node, SentAttempt attempt, long latencyUs) {
+        double serviceTime = node.serviceTimePerUnit(now);
         double backlog = node.backlog(now);
-        double error = latencyUs - backlog - sent.span() * pace;
-        double passed = node.heardAt == Long.MIN_VALUE ? Double.MAX_VALUE : now - node.heardAt;
-        double newest = 1 - (1 - SMOOTHING) * Math.exp(-passed / MEMORY_US);
+        double error = latencyUs - backlog - attempt.effectiveUnits() * serviceTime;
+        double passed =
+                node.observedAt == Long.MIN_VALUE ? Double.MAX_VALUE : now - node.observedAt;
+        double newest = 1 - (1 - MIN_FAST_WEIGHT) * Math.exp(-passed / BACKLOG_MEMORY_MICROS);
         node.backlog = Math.max(0, backlog + newest * error);
-        double own = sent.span() * pace;
-        double odd = error > 0 ? Math.min(error, own) : Math.min(0, latencyUs - own);
+        double own = attempt.effectiveUnits() * serviceTime;
+        double ownError = error > 0 ? Math.min(error, own) : Math.min(0, latencyUs - own);
         double step =
-                Math.max(SLOW_SMOOTHING, 1.0 / (++node.answers + FIRST_ANSWERS))
-                        * odd
-                        / sent.span();
-        node.pace = Math.max(pace / SAMPLE_CLIP, pace + Math.min(step, (SAMPLE_CLIP - 1) * pace));
-        double part = Math.max(AVERAGE_SMOOTHING, 1.0 / (++answers + FIRST_ANSWERS));
-        averageBacklog = averageBacklog(now) + part * (node.backlog - averageBacklog(now));
-        averageAt = now;
-        averagePace += part * (node.pace * node.warmth(now) - averagePace);
-        double strain =
+                Math.max(MIN_SLOW_WEIGHT, 1.0 / (++node.answerCount + PRIOR_ANSWERS))
+                        * ownError
+                        / attempt.effectiveUnits();
+        node.serviceTimePerUnit =
+                Math.max(
+                        serviceTime / MAX_SAMPLE_RATIO,
+                        serviceTime + Math.min(step, (MAX_SAMPLE_RATIO - 1) * serviceTime));
+        double weight = Math.max(MIN_AVERAGE_WEIGHT, 1.0 / (++answerCount + PRIOR_ANSWERS));
+        averageBacklog = averageBacklog(now) + weight * (node.backlog - averageBacklog(now));
+        averagesUpdatedAt = now;
+        averageServiceTime +=
+                weight * (node.serviceTimePerUnit * node.warmth(now) - averageServiceTime);
+        double latencyRatio =
                 Math.min(
-                        SAMPLE_CLIP,
-                        (double) (now - sent.held().arrived) / sent.held().type.targetLatencyUs());
-        double old = node.strain(now);
-        node.strain =
-                old
-                        + Math.max(SLOW_SMOOTHING, 1.0 / (node.answers + FIRST_ANSWERS))
-                                * (strain - old);
-        averageStrain += part * (strain - averageStrain);
-        node.heardAt = now;
+                        MAX_SAMPLE_RATIO,
+                        (double) (now - attempt.pending().arrivedAt)
+                                / attempt.pending().requestClass.targetLatencyUs());
+        double known = node.latencyRatio(now);
+        node.latencyRatio =
+                known
+                        + Math.max(MIN_SLOW_WEIGHT, 1.0 / (node.answerCount + PRIOR_ANSWERS))
+                                * (latencyRatio - known);
+        averageLatencyRatio += weight * (latencyRatio - averageLatencyRatio);
+        node.observedAt = now;
     }
 
     double averageBacklog(long now) {
-        return averageBacklog * Math.exp(-(now - averageAt) / FORGET_US);
+        return averageBacklog * Math.exp(-(now - averagesUpdatedAt) / FORGET_MICROS);
     }
 
     /**
-     * An answer ends a silence. Errors come back fast, so they teach no speed, or a node that fails
-     * everything would look the fastest and draw all new objects; their share counts against it
-     * instead. Covers nodes with a broken disk or a bad release; may hurt where one class alone is
-     * in error.
+     * Ends a silence, and counts errors. Errors come back fast and are not learned from as speed: a
+     * node that fails everything would look the fastest and get all new objects. Their ratio counts
+     * against the node instead. Handles nodes with a broken disk or a bad release; may reduce
+     * throughput when a single class fails.
      */
-    private void heard(long now, TrackedNode node, boolean error) {
-        node.answeredAt = node.seenAt = now;
-        node.down = node.guarded = false;
-        node.errors += SMOOTHING * ((error ? 1 : 0) - node.errors);
+    private void noteAnswer(long now, TrackedNode node, boolean error) {
+        node.answeredAt = node.lastSeenAt = now;
+        node.down = node.unconfirmed = false;
+        node.errorRatio += MIN_FAST_WEIGHT * ((error ? 1 : 0) - node.errorRatio);
     }
 
-    private boolean usable(long now, TrackedNode node) {
-        return node.ready && (!node.down && now < node.trustedUntil || !silent(now, node));
+    private boolean isUsable(long now, TrackedNode node) {
+        return node.ready && (!node.down && now < node.trustedUntil || !isSilent(now, node));
     }
 
     /**
-     * Nothing comes back: connections fail, or units are out and there was no answer for long. The
-     * node is down, hangs, is cut off, or is far slower than it was; more sends would only be lost.
-     * May hurt where a heavy request alone fills the node: a probe brings it back.
+     * Whether nothing comes back: connections fail, or units are in flight and there was no answer
+     * for long. The node is down, hangs, is cut off, or is far slower than it was, and further
+     * attempts would only be lost. May stop requests while one expensive request fills the node; a
+     * probe ends that.
      */
-    boolean silent(long now, TrackedNode node) {
-        SentAttempt oldest = node.out.peek();
+    boolean isSilent(long now, TrackedNode node) {
+        SentAttempt oldest = node.inFlight.peek();
         return node.down
-                || oldest != null && overdue(now, oldest, Math.max(oldest.at(), node.answeredAt));
+                || oldest != null
+                        && isOverdue(now, oldest, Math.max(oldest.sentAt(), node.answeredAt));
     }
 
-    private static boolean overdue(long now, SentAttempt sent, long since) {
-        return now - since > Math.max(SILENT_US, SILENT_TIMES * sent.expected());
+    private static boolean isOverdue(long now, SentAttempt attempt, long since) {
+        return now - since
+                > Math.max(MIN_SILENCE_MICROS, SILENCE_LATENCY_FACTOR * attempt.expectedUs());
     }
 
     /**
-     * Attempts far over their time while later sends were answered no longer count as out: their
-     * answers are lost, or the node forgot them, and they would fill the bound. Covers lost answers
-     * and what a hang leaves behind; may hurt when a costly request still runs, as one more is then
-     * sent beside it.
+     * Removes attempts from those in flight that are far over their time while later ones were
+     * answered: their answers are lost, or the node dropped them, and they would use up the bound.
+     * Handles lost answers and what a hang leaves behind; may exceed the bound by one request when
+     * an expensive one still runs.
      */
-    private void writeOffLost(long now, TrackedNode node) {
-        for (SentAttempt sent : List.copyOf(node.out)) {
-            if (overdue(now, sent, sent.at()) && node.answeredAt > sent.at() + SILENT_US) {
-                node.drop(sent);
+    private void dropLostAttempts(long now, TrackedNode node) {
+        for (SentAttempt attempt : List.copyOf(node.inFlight)) {
+            if (isOverdue(now, attempt, attempt.sentAt())
+                    && node.answeredAt > attempt.sentAt() + MIN_SILENCE_MICROS) {
+                node.removeAttempt(attempt);
             }
         }
     }
 
-    private void testSilent(long now, TrackedNode node) {
-        if (node.ready && now - node.testedAt >= testGapUs && silent(now, node)) {
-            node.testedAt = now;
-            node.trustedUntil = limits.mayProbe() ? node.trustedUntil : now + FRESH_US;
-            // else a request tests: one reset must not bar a node for good
+    private void probeIfSilent(long now, TrackedNode node) {
+        if (node.ready && now - node.silenceProbedAt >= silentProbeGapUs && isSilent(now, node)) {
+            node.silenceProbedAt = now;
+            node.trustedUntil = limits.mayProbe() ? node.trustedUntil : now + MIN_FRESH_MICROS;
+            // Without probes a request tests the node: a reset must not exclude it for good.
             node.down &= limits.mayProbe();
             if (limits.mayProbe()) {
                 actions.probe(node.address);
@@ -866,37 +960,36 @@
         }
     }
 
-    /** Answers those held requests that can no longer be served in time. */
-    private void expire(long now, TrackedNode node) {
-        for (PendingRequest held : List.copyOf(node.queue)) {
-            double need = node.backlog(now) + span(0, held.work) * node.pace(now);
-            if (now + Math.max(2 * TICK_US, need) > held.due) {
-                giveUp(now, held, LEAST_ADVICE_US, Reason.EXPIRED);
+    /** Answers queued requests that can no longer be served in time. */
+    private void answerExpired(long now, TrackedNode node) {
+        for (PendingRequest pending : List.copyOf(node.queue)) {
+            double need =
+                    node.backlog(now)
+                            + effectiveUnits(0, pending.workUnits) * node.serviceTimePerUnit(now);
+            if (now + Math.max(2 * TICK_MICROS, need) > pending.deadline) {
+                answerUnserved(now, pending, MIN_RETRY_ADVICE_MICROS, Reason.EXPIRED);
             }
         }
     }
 
-    /**
-     * Nothing more goes to a node that drains or is gone; what is held goes elsewhere or is
-     * answered.
-     */
-    private void moveHeld(long now, TrackedNode node) {
-        for (PendingRequest held : new ArrayList<>(node.queue)) {
-            unqueue(held);
-            if (held.sent.isEmpty()) {
-                admit(now, held);
+    /** Moves requests from the queue of a node that drains or is gone, or answers them. */
+    private void moveQueued(long now, TrackedNode node) {
+        for (PendingRequest pending : new ArrayList<>(node.queue)) {
+            dequeue(pending);
+            if (pending.attempts.isEmpty()) {
+                admit(now, pending);
             } else {
-                again(now, held, node, Status.CONNECT_FAILED);
+                attemptAgain(now, pending, node, Status.CONNECT_FAILED);
             }
         }
     }
 
-    private void startTicking() {
-        if (!ticking
-                && (heldCount + outCount > 0
+    private void scheduleTick() {
+        if (!tickScheduled
+                && (waitingCount + inFlightCount > 0
                         || nodes.values().stream().anyMatch(node -> node.ready && node.down))) {
-            ticking = true;
-            actions.startTimer(TICK_US, TICK);
+            tickScheduled = true;
+            actions.startTimer(TICK_MICROS, TICK_TOKEN);
         }
     }
 }
--- a/src/main/java/cypressglade/core/SentAttempt.java
+++ b/src/main/java/cypressglade/core/SentAttempt.java
@@ -1,4 +1,16 @@
 package cypressglade.core;
 
-/** One attempt: when and where it went, the units that count for it, and its predicted time. */
-record SentAttempt(long at, TrackedNode node, PendingRequest held, double span, double expected) {}
+/**
+ * One attempt of a request at a node.
+ *
+ * @param sentAt when it was sent, in microseconds
+ * @param pending the request
+ * @param effectiveUnits the units that count for its latency
+ * @param expectedUs its predicted latency in microseconds
+ */
+record SentAttempt(
+        long sentAt,
+        TrackedNode node,
+        PendingRequest pending,
+        double effectiveUnits,
+        double expectedUs) {}
--- a/src/main/java/cypressglade/core/TrackedNode.java
+++ b/src/main/java/cypressglade/core/TrackedNode.java
@@ -1,61 +1,74 @@
 package cypressglade.core;
 
+import cypressglade.core.Scheduler.LimitShares;
 import cypressglade.core.Scheduler.NodeEntry;
 import cypressglade.core.Scheduler.NodeView;
 import cypressglade.core.Scheduler.State;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 
-/** A storage node as this head sees it. */
+/**
+ * What this instance has learned of a storage node, and what it has queued and in flight there.
+ * Belongs to the policy's thread; times are in microseconds.
+ */
 final class TrackedNode {
-    // The ordinary path.
-    private static final int RECENT_KEYS = 3; // pieces that a node is taken to remember
-    // Part of the tightest aim that the units out may take.
-    private static final double AIM_PART = 0.5;
-    private static final double CEILING_MEANS = 16; // most units out at a node, in mean requests
-    private static final double GUARD_MEANS = 2; // the same for a node known by hearsay only
-
-    // Health, by symptom.
-
-    // Golden section: spreads ranks evenly over turns.
-    private static final double TURN_BY_RANK = 0.618034;
-    // And windows, out of step with the ranks.
-    private static final double TURN_BY_WINDOW = 0.754878;
-    // Of what all may send: chance gives some windows more.
-    private static final double TURN_PART = 0.8;
-    // Of what a cold node falls over at, as nodes are seen.
-    private static final double COLD_PART = 0.6;
-    private static final int COLD_ANSWERS = 20; // answers from which that is known
-    private static final double LEAST_WARMTH = 0.05; // where settings name no cold part
-
-    private final SchedulingPolicy brain;
+    // Number of keys that a node is taken to have in its cache.
+    private static final int MAX_RECENT_KEYS = 3;
+
+    // Units in flight.
+
+    // Part of the shortest target latency that the units in flight may take.
+    private static final double IN_FLIGHT_TARGET_FRACTION = 0.5;
+    // Maximum in flight at a node, in mean requests,
+    private static final double MAX_IN_FLIGHT_MEAN_REQUESTS = 16;
+    // and at one that only other instances have observed.
+    private static final double MAX_UNCONFIRMED_MEAN_REQUESTS = 2;
+
+    // Cold nodes.
+
+    // Step between the turns of two ranks: the golden section spreads them evenly.
+    private static final double TURN_STEP_PER_RANK = 0.618034;
+    // Step between the turns of two windows, out of step with the ranks.
+    private static final double TURN_STEP_PER_WINDOW = 0.754878;
+    // Part of what all instances may send that turns allot, as some windows get more by chance.
+    private static final double TURN_FRACTION = 0.8;
+    // Part of the load at which a cold node fails, by the speed that nodes were seen to have.
+    private static final double COLD_OVERLOAD_FRACTION = 0.6;
+    // Number of answers from which that speed is known.
+    private static final int MIN_COLD_ESTIMATE_ANSWERS = 20;
+    // Minimum fraction of a node's speed, also where the settings have none for cold nodes.
+    private static final double MIN_WARMTH = 0.05;
+
+    private final SchedulingPolicy policy;
     long address;
     private long startedUs;
-    long testedAt, restUntil, trustedUntil;
+    long silenceProbedAt, pausedUntil, trustedUntil;
     long resetAt = Long.MIN_VALUE;
-    long coldFrom; // the latest start that others tell of
+    long reportedStartAt; // the latest start that other instances observed
     int shard;
-    boolean ready, down, guarded; // guarded: known by hearsay only
-    double pace, backlog, strain, errors, outUnits;
-    int answers;
+    boolean ready, down;
+    boolean unconfirmed; // known only from other instances
+    double serviceTimePerUnit, backlog, latencyRatio, errorRatio, inFlightUnits;
+    int answerCount;
     private final ArrayDeque<Long> recentKeys = new ArrayDeque<>();
-    long heardAt = Long.MIN_VALUE, answeredAt = Long.MIN_VALUE; // by anything; by an answer
-    long seenAt = Long.MIN_VALUE, probedAt = Long.MIN_VALUE; // signs of life; probe that is out
-    final ArrayList<PendingRequest> parked = new ArrayList<>();
-    final ArrayDeque<SentAttempt> out = new ArrayDeque<>();
+    long observedAt = Long.MIN_VALUE, answeredAt = Long.MIN_VALUE; // last estimate; last answer
+    long lastSeenAt = Long.MIN_VALUE, probedAt = Long.MIN_VALUE; // sign of life; probe in flight
+    final ArrayList<PendingRequest> awaitingProbe = new ArrayList<>();
+    final ArrayDeque<SentAttempt> inFlight = new ArrayDeque<>();
     final ArrayList<PendingRequest> queue = new ArrayList<>();
+    // Time and units of each attempt, as far as they count for a cold node.
     final ArrayDeque<double[]> coldSends = new ArrayDeque<>();
 
-    TrackedNode(SchedulingPolicy brain) {
-        this.brain = brain;
+    TrackedNode(SchedulingPolicy policy) {
+        this.policy = policy;
     }
 
     void update(NodeEntry entry) {
         if (entry.startedUs() != startedUs) {
-            heardAt = Long.MIN_VALUE;
-            answers = 0;
-            down = guarded = false;
-            errors = 0;
+            observedAt = Long.MIN_VALUE;
+            answerCount = 0;
+            down = unconfirmed = false;
+            errorRatio = 0;
         }
         address = entry.node();
         shard = entry.shard();
@@ -63,188 +76,204 @@
         startedUs = entry.startedUs();
     }
 
-    boolean idle() {
-        return !down && empty();
+    boolean isIdle() {
+        return !down && isEmpty();
     }
 
-    boolean empty() {
-        return out.isEmpty() && queue.isEmpty() && parked.isEmpty();
+    boolean isEmpty() {
+        return inFlight.isEmpty() && queue.isEmpty() && awaitingProbe.isEmpty();
     }
 
-    /** What was learned of the node drifts to the average of all while it is not heard of. */
-    double recall(long now, double learned, double average) {
-        return heardAt == Long.MIN_VALUE
+    /** Returns an estimate, which drifts to the average of all while the node is not heard of. */
+    double driftToAverage(long now, double learned, double average) {
+        return observedAt == Long.MIN_VALUE
                 ? average
                 : average
                         + (learned - average)
-                                * Math.exp(-(now - heardAt) / SchedulingPolicy.FORGET_US);
+                                * Math.exp(-(now - observedAt) / SchedulingPolicy.FORGET_MICROS);
     }
 
     /**
-     * Part of its speed that a node surely has: it rises evenly from the cold part to the whole.
+     * Returns the fraction of its full speed that a node has at least: it rises linearly from that
+     * of a cold node to 1.
      */
     double warmth(long now) {
-        long cold = brain.limits.rampUs() - (now - Math.max(startedUs, coldFrom));
-        return startedUs == 0 && coldFrom == 0 || cold <= 0
+        long cold = policy.limits.rampUs() - (now - Math.max(startedUs, reportedStartAt));
+        return startedUs == 0 && reportedStartAt == 0 || cold <= 0
                 ? 1
                 : Math.max(
-                        LEAST_WARMTH,
+                        MIN_WARMTH,
                         1
-                                - (1 - brain.limits.coldSpeedFraction())
-                                        * Math.min(1, (double) cold / brain.limits.rampUs()));
+                                - (1 - policy.limits.coldSpeedFraction())
+                                        * Math.min(1, (double) cold / policy.limits.rampUs()));
     }
 
     /**
-     * Microseconds a unit; of an unheard node what the average of all tells of one as warm as it
-     * is.
+     * Returns microseconds a unit; while it is not heard of, the average for one as warm as it is.
      */
-    double pace(long now) {
-        return recall(now, pace, brain.averagePace / warmth(now));
+    double serviceTimePerUnit(long now) {
+        return driftToAverage(now, serviceTimePerUnit, policy.averageServiceTime / warmth(now));
     }
 
-    /** Share of their aim that answers take: how crowded the node is. */
-    double strain(long now) {
-        double kept = Math.exp(-(now - brain.averageAt) / SchedulingPolicy.FORGET_US);
-        return recall(
+    /**
+     * Returns the time of answers as a fraction of their target latency: how loaded the node is.
+     */
+    double latencyRatio(long now) {
+        double kept = Math.exp(-(now - policy.averagesUpdatedAt) / SchedulingPolicy.FORGET_MICROS);
+        return driftToAverage(
                 now,
-                strain,
-                SchedulingPolicy.START_STRAIN
-                        + (brain.averageStrain - SchedulingPolicy.START_STRAIN) * kept);
+                latencyRatio,
+                SchedulingPolicy.INITIAL_LATENCY_RATIO
+                        + (policy.averageLatencyRatio - SchedulingPolicy.INITIAL_LATENCY_RATIO)
+                                * kept);
     }
 
     /**
-     * Microseconds that others' load adds to an answer. An attempt over its time tells of at least
-     * so much, unless something came back since: then it is lost or heavy.
+     * Returns the microseconds that the load of others adds to an answer. An attempt that is late
+     * shows at least its delay, unless a sign of life came since: then it is lost or expensive.
      */
     double backlog(long now) {
-        double known = recall(now, backlog, brain.averageBacklog(now));
-        SentAttempt oldest = out.peek();
+        double known = driftToAverage(now, backlog, policy.averageBacklog(now));
+        SentAttempt oldest = inFlight.peek();
         return oldest == null
                 ? known
-                : Math.max(known, now - Math.max(oldest.at() + oldest.expected(), seenAt));
+                : Math.max(
+                        known, now - Math.max(oldest.sentAt() + oldest.expectedUs(), lastSeenAt));
     }
 
-    void setBacklog(long now, double value) {
-        pace = pace(now);
-        strain = strain(now);
+    void updateBacklog(long now, double value) {
+        serviceTimePerUnit = serviceTimePerUnit(now);
+        latencyRatio = latencyRatio(now);
         backlog = value;
-        heardAt = now;
+        observedAt = now;
     }
 
     /**
-     * Whether the piece is among the last that this head sent or holds here, so that it costs less.
+     * Returns whether the key is among the last that this instance sent or queued here, so that it
+     * costs less, and remembers it.
      */
-    boolean takes(long key) {
+    boolean noteKey(long key) {
         if (key == 0 || recentKeys.contains(key)) {
             return key != 0;
         }
         recentKeys.add(key);
-        if (recentKeys.size() > RECENT_KEYS) {
+        if (recentKeys.size() > MAX_RECENT_KEYS) {
             recentKeys.poll();
         }
         return false;
     }
 
-    void drop(SentAttempt sent) {
-        if (out.remove(sent)) {
-            outUnits = out.isEmpty() ? 0 : outUnits - sent.held().work;
+    void removeAttempt(SentAttempt attempt) {
+        if (inFlight.remove(attempt)) {
+            inFlightUnits = inFlight.isEmpty() ? 0 : inFlightUnits - attempt.pending().workUnits;
         }
     }
 
-    /** Units that may be out; a background class asks for less. */
-    double bound(long now) {
-        double bound =
-                (AIM_PART * brain.tightestAim - backlog(now)) / pace(now)
-                        - brain.settings.meanUnits();
+    /** Returns the units that may be in flight; background requests may use only a part. */
+    double maxInFlightUnits(long now) {
+        double units =
+                (IN_FLIGHT_TARGET_FRACTION * policy.minTarget - backlog(now))
+                                / serviceTimePerUnit(now)
+                        - policy.settings.meanUnits();
         return Math.min(
-                bound, (guarded ? GUARD_MEANS : CEILING_MEANS) * brain.settings.meanUnits());
+                units,
+                (unconfirmed ? MAX_UNCONFIRMED_MEAN_REQUESTS : MAX_IN_FLIGHT_MEAN_REQUESTS)
+                        * policy.settings.meanUnits());
     }
 
     NodeView view(long now) {
-        boolean silent = brain.silent(now, this);
+        boolean silent = policy.isSilent(now, this);
         return new NodeView(
                 address,
                 shard,
                 ready,
-                guarded,
+                unconfirmed,
                 silent,
                 startedUs,
-                pace(now),
+                serviceTimePerUnit(now),
                 backlog(now),
-                strain(now),
-                errors,
-                answers,
+                latencyRatio(now),
+                errorRatio,
+                answerCount,
                 answeredAt == Long.MIN_VALUE ? -1 : now - answeredAt,
-                seenAt == Long.MIN_VALUE ? -1 : now - seenAt,
-                outUnits,
-                bound(now),
+                lastSeenAt == Long.MIN_VALUE ? -1 : now - lastSeenAt,
+                inFlightUnits,
+                maxInFlightUnits(now),
                 queue.size(),
-                coldRoom(now));
+                coldCapacity(now));
     }
 
-    double heldAhead(PendingRequest held) {
+    double unitsAhead(PendingRequest pending) {
         double ahead = 0;
         for (PendingRequest other : queue) {
-            if (other.due <= held.due && !other.background) {
-                ahead += other.work;
+            if (other.deadline <= pending.deadline && !other.background) {
+                ahead += other.workUnits;
             }
         }
         return ahead;
     }
 
     /**
-     * Units that this head may still send to a cold node within the rule's window. Where an even
-     * part of what all heads may send is less than one request, heads take turns by rank and
-     * window: so many at once that they ask for no more than all may send, by this head's own
-     * traffic. One largest request a turn bounds a head whose volume surges. Covers restarts of
-     * heads (turns go by rank) and heads that die (their turn lapses); may hurt where few heads
-     * have all the traffic of the node.
+     * Returns the units that this instance may still send to a cold node within the overload
+     * window. Where an even share of what all instances may send is less than one request, they
+     * take turns by rank and window: so many at once that together they send no more than all may,
+     * by this instance's own demand. A turn allows one largest request, which bounds an instance
+     * whose volume surges. Handles restarts of instances (turns go by rank) and instances that fail
+     * (their turn lapses); may reduce throughput when few instances have all the traffic of the
+     * node.
      */
-    double coldRoom(long now) {
-        coldSends.removeIf(sent -> sent[0] <= now - brain.limits.overloadWindowUs());
+    double coldCapacity(long now) {
+        coldSends.removeIf(send -> send[0] <= now - policy.limits.overloadWindowUs());
         double warmth = warmth(now);
         if (warmth >= 1) {
             return Double.MAX_VALUE;
         }
         double all =
-                brain.limits.coldNodeUnits()
+                policy.limits.coldNodeUnits()
                         * warmth
-                        / Math.max(LEAST_WARMTH, brain.limits.coldSpeedFraction());
-        if (brain.answers >= COLD_ANSWERS) {
-            double paced =
+                        / Math.max(MIN_WARMTH, policy.limits.coldSpeedFraction());
+        if (policy.answerCount >= MIN_COLD_ESTIMATE_ANSWERS) {
+            double serviceTime =
                     Math.max(
-                            brain.averagePace / warmth,
-                            answers < SchedulingPolicy.FIRST_ANSWERS ? 0 : pace(now));
+                            policy.averageServiceTime / warmth,
+                            answerCount < SchedulingPolicy.PRIOR_ANSWERS
+                                    ? 0
+                                    : serviceTimePerUnit(now));
             all =
                     Math.max(
                             all,
-                            COLD_PART
-                                    * brain.limits.overloadFactor()
-                                    * brain.limits.overloadWindowUs()
-                                    / paced);
+                            COLD_OVERLOAD_FRACTION
+                                    * policy.limits.overloadFactor()
+                                    * policy.limits.overloadWindowUs()
+                                    / serviceTime);
         }
-        double room = all / brain.parts.nodeDivisor(now, address, brain.settings.instances());
-        if (brain.parts == Scheduler.LimitShares.EVEN && room < brain.settings.maxUnits()) {
-            double seen =
-                    SchedulingPolicy.DEMAND_US
+        double capacity =
+                all / policy.limitShares.nodeDivisor(now, address, policy.settings.instances());
+        if (policy.limitShares == LimitShares.EVEN && capacity < policy.settings.maxUnits()) {
+            double demandSpanUs =
+                    SchedulingPolicy.DEMAND_MEMORY_MICROS
                             * (1
                                     - Math.exp(
-                                            -(now - brain.bornAt + brain.limits.overloadWindowUs())
-                                                    / SchedulingPolicy.DEMAND_US));
+                                            -(now
+                                                            - policy.createdAt
+                                                            + policy.limits.overloadWindowUs())
+                                                    / SchedulingPolicy.DEMAND_MEMORY_MICROS));
             double demand =
-                    brain.asked
-                            / seen
-                            * brain.limits.overloadWindowUs()
-                            * brain.settings.instances()
-                            / brain.shards.size();
-            long window = now / brain.limits.overloadWindowUs();
+                    policy.demandUnits
+                            / demandSpanUs
+                            * policy.limits.overloadWindowUs()
+                            * policy.settings.instances()
+                            / policy.nodesByShard.size();
+            long window = now / policy.limits.overloadWindowUs();
             double turn =
-                    (brain.settings.rank() * TURN_BY_RANK + (window + shard) * TURN_BY_WINDOW) % 1;
-            room = turn < TURN_PART * all / demand ? brain.settings.maxUnits() : 0;
+                    (policy.settings.rank() * TURN_STEP_PER_RANK
+                                    + (window + shard) * TURN_STEP_PER_WINDOW)
+                            % 1;
+            capacity = turn < TURN_FRACTION * all / demand ? policy.settings.maxUnits() : 0;
         }
-        for (double[] sent : coldSends) {
-            room -= sent[1];
+        for (double[] send : coldSends) {
+            capacity -= send[1];
         }
-        return room;
+        return capacity;
     }
 }
--- a/src/main/java/cypressglade/core/TrackedVolume.java
+++ b/src/main/java/cypressglade/core/TrackedVolume.java
@@ -3,88 +3,109 @@
 import cypressglade.core.Scheduler.Plan;
 
 /**
- * A volume as this head sees it: its part of the reserve and of the limit, and what it asks beyond.
+ * What this instance knows of a volume: its shares of the volume's reserve and limit, and the
+ * demand beyond the reserve. Belongs to the policy's thread; amounts are in units, rates in units a
+ * second.
  */
 final class TrackedVolume {
-    // A volume that was not asked for so long is forgotten.
-    private static final long IDLE_US = 60_000_000;
-    // Least part of a volume, in even parts of its heads.
-    private static final double LEAST_PART = 0.5;
-    // Part by number of heads, where no meter tells it.
-    private static final double PART_POWER = -0.5;
+    // A volume without requests for this long may be removed.
+    private static final long MAX_IDLE_MICROS = 60_000_000;
+    // Minimum share of a volume, as a fraction of an even share.
+    private static final double MIN_EVEN_SHARE_RATIO = 0.5;
+    // Exponent of the number of instances in the share of a volume whose use is not reported.
+    private static final double SHARE_EXPONENT = -0.5;
 
-    private final SchedulingPolicy brain;
+    private final SchedulingPolicy policy;
     Plan plan;
-    int heads = 1;
+    int instances = 1;
     private long id, refilledAt;
-    long askedAt;
-    double reserve, limit, pending, excess, servedHere;
-    private double servedEverywhere = -1;
+    long lastRequestAt;
+    double reserveUnits, limitUnits, pendingUnits, excessRate, servedHereRate;
+    private double servedEverywhereRate = -1;
 
-    TrackedVolume(SchedulingPolicy brain, long now, PendingRequest first) {
-        this.brain = brain;
+    TrackedVolume(SchedulingPolicy policy, long now, PendingRequest first) {
+        this.policy = policy;
         id = first.request.volume();
-        plan = brain.settings.plans().get(first.request.plan());
-        heads = Math.max(1, first.request.instances());
+        plan = policy.settings.plans().get(first.request.plan());
+        instances = Math.max(1, first.request.instances());
         refilledAt = now;
-        reserve = part() * plan.reserveRate();
-        // The store fills from the start of the instance, not from the first request. It starts
-        // with its part of the slack, so that what a restart spends twice stays within that.
+        reserveUnits = share() * plan.reserveRate();
+        // The token bucket fills from the start of the instance, not from the first request. It
+        // starts with the share of the slack, so that what a restart spends twice stays within it.
         double filled =
-                plan.limitSlack() + (now - brain.bornAt) / SchedulingPolicy.US * plan.limitRate();
-        limit = Math.min(plan.limitBurst(), filled) / brain.parts.maxDivisor(heads);
+                plan.limitSlack()
+                        + (now - policy.createdAt)
+                                / SchedulingPolicy.MICROS_PER_SECOND
+                                * plan.limitRate();
+        limitUnits = Math.min(plan.limitBurst(), filled) / policy.limitShares.maxDivisor(instances);
     }
 
-    double limitHeads(long now) {
-        return brain.parts.volumeDivisor(now, id, heads);
+    double limitDivisor(long now) {
+        return policy.limitShares.volumeDivisor(now, id, instances);
     }
 
-    /** This head's part of what the volume gets: by the meter where there is one. */
-    double part() {
-        return servedEverywhere <= 0 || heads <= 1
-                ? Math.pow(heads, PART_POWER)
-                : Math.min(1, Math.max(LEAST_PART / heads, servedHere / servedEverywhere));
+    /**
+     * Returns this instance's share of what the volume gets, by reported use where there is any.
+     */
+    double share() {
+        return servedEverywhereRate <= 0 || instances <= 1
+                ? Math.pow(instances, SHARE_EXPONENT)
+                : Math.min(
+                        1,
+                        Math.max(
+                                MIN_EVEN_SHARE_RATIO / instances,
+                                servedHereRate / servedEverywhereRate));
     }
 
     void refill(long now) {
-        double passed = (now - refilledAt) / SchedulingPolicy.US;
+        double passed = (now - refilledAt) / SchedulingPolicy.MICROS_PER_SECOND;
         refilledAt = now;
         double full =
-                part() * plan.reserveRate()
-                        + (plan.reserveRate() > 0 ? brain.settings.maxUnits() : 0);
-        reserve = Math.min(full, reserve + passed * part() * plan.reserveRate());
-        double among = limitHeads(now);
-        limit = Math.min(plan.limitBurst() / among, limit + passed * plan.limitRate() / among);
-        double kept = Math.exp(-passed * SchedulingPolicy.US / SchedulingPolicy.RATE_US);
-        excess *= kept;
-        servedHere *= kept;
+                share() * plan.reserveRate()
+                        + (plan.reserveRate() > 0 ? policy.settings.maxUnits() : 0);
+        reserveUnits = Math.min(full, reserveUnits + passed * share() * plan.reserveRate());
+        double divisor = limitDivisor(now);
+        limitUnits =
+                Math.min(
+                        plan.limitBurst() / divisor,
+                        limitUnits + passed * plan.limitRate() / divisor);
+        double kept =
+                Math.exp(
+                        -passed
+                                * SchedulingPolicy.MICROS_PER_SECOND
+                                / SchedulingPolicy.RATE_MEMORY_MICROS);
+        excessRate *= kept;
+        servedHereRate *= kept;
     }
 
     double excessByWeight() {
-        return excess / Math.max(plan.weight(), Double.MIN_NORMAL);
+        return excessRate / Math.max(plan.weight(), Double.MIN_NORMAL);
     }
 
     /**
-     * Brings it up to now. Idle for long and with a full store of the limit it would come back
-     * alike.
+     * Brings the volume up to now. One that is idle for long and may use its whole burst would be
+     * the same if it was created anew.
      */
-    boolean forgotten(long now) {
-        return limitWait(now, plan.limitBurst() / limitHeads(now)) <= 0
-                && pending <= 0
-                && now - askedAt > IDLE_US;
+    boolean canBeForgotten(long now) {
+        return limitWait(now, plan.limitBurst() / limitDivisor(now)) <= 0
+                && pendingUnits <= 0
+                && now - lastRequestAt > MAX_IDLE_MICROS;
     }
 
-    void meter(int percent) {
+    void learnServedRate(int percent) {
         double rate = percent / 100.0 * plan.baseRate();
-        double known = servedEverywhere < 0 ? rate : servedEverywhere;
-        servedEverywhere = known + SchedulingPolicy.SMOOTHING * (rate - known);
+        double known = servedEverywhereRate < 0 ? rate : servedEverywhereRate;
+        servedEverywhereRate = known + SchedulingPolicy.MIN_FAST_WEIGHT * (rate - known);
     }
 
-    /** How long until the store of the limit holds so many units. */
+    /** Returns how long until the limit allows so many units; 0 or less: now. */
     double limitWait(long now, double units) {
         refill(now);
         return plan.limitRate() <= 0
                 ? 0
-                : (units - limit) * limitHeads(now) / plan.limitRate() * SchedulingPolicy.US;
+                : (units - limitUnits)
+                        * limitDivisor(now)
+                        / plan.limitRate()
+                        * SchedulingPolicy.MICROS_PER_SECOND;
     }
 }
--- a/src/test/java/cypressglade/core/HintTest.java
+++ b/src/test/java/cypressglade/core/HintTest.java
@@ -12,152 +12,158 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What hearsay does to the module, and what it may not do. */
+/** What hints of other instances change in the policy, and what they must not change. */
 class HintTest {
-    private static final double QUICK_US = 2_000;
+    private static final double FAST_UNIT_MICROS = 2_000;
 
-    private static PolicyHarness head(boolean probes) {
-        PolicyHarness head = new PolicyHarness();
-        head.probes = probes;
-        head.probesAnswered = false;
-        return head.start(2);
+    private static PolicyHarness instance(boolean probes) {
+        PolicyHarness instance = new PolicyHarness();
+        instance.mayProbe = probes;
+        instance.answersProbes = false;
+        return instance.start(2);
     }
 
-    private static Hint hint(double pace, boolean silent, long startedUs) {
-        return new Hint(100, pace, 0, 0.2, 0, silent, startedUs);
+    private static Hint hint(double serviceTimePerUnitUs, boolean silent, long startedUs) {
+        return new Hint(100, serviceTimePerUnitUs, 0, 0.2, 0, silent, startedUs);
     }
 
-    private static NodeView view(PolicyHarness head) {
-        return head.brain().nodeViews(head.now).get(0);
+    private static NodeView view(PolicyHarness instance) {
+        return instance.policy().nodeViews(instance.now).get(0);
     }
 
-    /** Twenty requests for the node in two seconds, of which nothing comes back. */
-    private static long sentToSilent(PolicyHarness head) {
+    /** Returns how many of twenty requests in two seconds are sent, while nothing comes back. */
+    private static long sentToSilent(PolicyHarness instance) {
         for (int i = 0; i < 20; i++) {
-            head.read(i, 0);
-            head.pass(100);
+            instance.submitRead(i, 0);
+            instance.advance(100);
         }
-        return head.count("send");
+        return instance.count("send");
     }
 
-    /** Guards against a flood on a node of which stale word says that it is healthy and quick. */
+    /** Guards against a flood of requests to a node that a stale hint calls healthy and fast. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void staleWordOfHealthSendsAtMostOneMoreThanNoWord(boolean probes) {
-        PolicyHarness untaught = head(probes);
-        PolicyHarness taught = head(probes);
-        taught.brain().handleHint(taught.now, hint(QUICK_US, false, 0));
-        assertThat(sentToSilent(untaught)).isPositive();
-        assertThat(sentToSilent(taught)).isLessThanOrEqualTo(untaught.count("send") + 1);
+    void staleHintOfHealthSendsAtMostOneMoreThanNoHint(boolean probes) {
+        PolicyHarness unhinted = instance(probes);
+        PolicyHarness hinted = instance(probes);
+        hinted.policy().handleHint(hinted.now, hint(FAST_UNIT_MICROS, false, 0));
+        assertThat(sentToSilent(unhinted)).isPositive();
+        assertThat(sentToSilent(hinted)).isLessThanOrEqualTo(unhinted.count("send") + 1);
     }
 
-    /** Guards against a window at its ceiling before anything was seen of the node. */
+    /** Guards against the maximum in flight before the node has shown a sign of life. */
     @Test
-    void unconfirmedNodeTakesASmallWindowAndAConfirmedOneAllOfIt() {
-        PolicyHarness head = new PolicyHarness();
-        head.heads = 1;
-        head.probes = false;
-        head.start(1);
-        head.brain().handleHint(head.now, hint(QUICK_US, false, 0));
+    void unconfirmedNodeGetsAFewUnitsAndAConfirmedOneItsWholeBound() {
+        PolicyHarness instance = new PolicyHarness();
+        instance.instances = 1;
+        instance.mayProbe = false;
+        instance.start(1);
+        instance.policy().handleHint(instance.now, hint(FAST_UNIT_MICROS, false, 0));
         for (int i = 0; i < 12; i++) {
-            head.read(i, 0);
+            instance.submitRead(i, 0);
         }
-        assertThat(head.count("send")).isEqualTo(2);
-        assertThat(view(head).unconfirmed()).isTrue();
-        head.end(0, 0, 0, Status.OK, 4);
-        assertThat(head.count("send")).isEqualTo(12);
-        assertThat(view(head).unconfirmed()).isFalse();
+        assertThat(instance.count("send")).isEqualTo(2);
+        assertThat(view(instance).unconfirmed()).isTrue();
+        instance.endAttempt(0, 0, 0, Status.OK, 4);
+        assertThat(instance.count("send")).isEqualTo(12);
+        assertThat(view(instance).unconfirmed()).isFalse();
     }
 
     @Test
-    void nodeSaidToBeSilentGetsNothingUntilItsProbeComesBack() {
-        PolicyHarness head = head(true);
-        head.brain().handleHint(head.now, hint(QUICK_US, true, 0));
-        head.pass(20);
-        assertThat(head.count("probe 0")).isEqualTo(1);
-        head.read(1, 0);
-        head.pass(50); // it asks first, for 30 ms
-        assertThat(head.answers(1)).isEqualTo(1);
-        head.probed(0, Status.OK);
-        head.read(2, 0);
-        assertThat(head.count("send 2")).isEqualTo(1);
+    void nodeReportedSilentGetsNothingUntilItsProbeComesBack() {
+        PolicyHarness instance = instance(true);
+        instance.policy().handleHint(instance.now, hint(FAST_UNIT_MICROS, true, 0));
+        instance.advance(20);
+        assertThat(instance.count("probe 0")).isEqualTo(1);
+        instance.submitRead(1, 0);
+        instance.advance(50); // it awaits a probe first, for 30 ms
+        assertThat(instance.finalAnswers(1)).isEqualTo(1);
+        instance.endProbe(0, Status.OK);
+        instance.submitRead(2, 0);
+        assertThat(instance.count("send 2")).isEqualTo(1);
     }
 
-    /** Guards against an echo: what is hearsay may not be told as seen, a failed probe may. */
+    /**
+     * Guards against echoes: a hint must not be reported as an own observation, a failed probe may.
+     */
     @Test
-    void silenceIsOwnKnowledgeOnceTheOwnProbeFailed() {
-        PolicyHarness head = head(true);
-        head.brain().handleHint(head.now, hint(QUICK_US, true, 0));
-        assertThat(view(head).unconfirmed()).isTrue();
-        head.pass(20);
-        head.probed(0, Status.TIMEOUT);
-        assertThat(view(head).unconfirmed()).isFalse();
-        assertThat(view(head).silent()).isTrue();
+    void silenceIsConfirmedOnceTheOwnProbeFailed() {
+        PolicyHarness instance = instance(true);
+        instance.policy().handleHint(instance.now, hint(FAST_UNIT_MICROS, true, 0));
+        assertThat(view(instance).unconfirmed()).isTrue();
+        instance.advance(20);
+        instance.endProbe(0, Status.TIMEOUT);
+        assertThat(view(instance).unconfirmed()).isFalse();
+        assertThat(view(instance).silent()).isTrue();
     }
 
     @Test
-    void ownAnswersBeatHearsayWhileTheyAreFresh() {
-        PolicyHarness head = head(false);
-        head.read(1, 0);
-        head.end(1, 0, 0, Status.OK, 30);
-        NodeView before = view(head);
-        head.brain().handleHint(head.now, hint(QUICK_US, true, 0));
-        assertThat(view(head)).isEqualTo(before);
-        head.pass(1100);
-        head.brain().handleHint(head.now, hint(QUICK_US, false, 0));
-        assertThat(view(head).serviceTimePerUnitUs()).isEqualTo(QUICK_US);
+    void ownAnswersOverrideHintsWhileTheyAreFresh() {
+        PolicyHarness instance = instance(false);
+        instance.submitRead(1, 0);
+        instance.endAttempt(1, 0, 0, Status.OK, 30);
+        NodeView before = view(instance);
+        instance.policy().handleHint(instance.now, hint(FAST_UNIT_MICROS, true, 0));
+        assertThat(view(instance)).isEqualTo(before);
+        instance.advance(1100);
+        instance.policy().handleHint(instance.now, hint(FAST_UNIT_MICROS, false, 0));
+        assertThat(view(instance).serviceTimePerUnitUs()).isEqualTo(FAST_UNIT_MICROS);
     }
 
-    /** Guards against a cold node that is filled because word says that it is quick. */
+    /** Guards against a cold node that is overloaded because a hint calls it fast. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 4})
-    void coldNodeTakesThePartOfOneInstanceWhateverIsSaidOfItsPace(int heads) {
-        PolicyHarness head = new PolicyHarness();
-        head.heads = heads;
-        head.probes = false;
-        head.start(1);
-        head.list(ListKind.DELTA, PolicyHarness.entry(0, State.READY, head.now - 1000 * MS));
-        head.brain().handleHint(head.now, hint(QUICK_US, false, 0));
+    void coldNodeGetsTheShareOfOneInstanceWhateverSpeedIsReported(int instances) {
+        PolicyHarness instance = new PolicyHarness();
+        instance.instances = instances;
+        instance.mayProbe = false;
+        instance.start(1);
+        instance.updateNodes(
+                ListKind.DELTA, PolicyHarness.entry(0, State.READY, instance.now - 1000 * MS));
+        instance.policy().handleHint(instance.now, hint(FAST_UNIT_MICROS, false, 0));
         double units = 0;
         for (int i = 0; i < 200; i++) {
-            head.read(i, 0);
-            if (head.count("send " + i + " ") == 1) {
+            instance.submitRead(i, 0);
+            if (instance.count("send " + i + " ") == 1) {
                 units += 2;
-                head.end(i, 0, 0, Status.OK, 4);
+                instance.endAttempt(i, 0, 0, Status.OK, 4);
             }
-            head.pass(4);
+            instance.advance(4);
         }
         double bound =
-                head.youngUnits
+                instance.coldNodeUnits
                         * (1 + 3 * 1.8 / 10)
-                        / heads; // ends 1.8 s into a ramp of 10 s, from 0.25
+                        / instances; // ends 1.8 s into a ramp of 10 s, from 0.25
         assertThat(units).isPositive().isLessThanOrEqualTo(bound);
-        // Who told of the node may have spent this window: until it is over there is only what the
-        // ramp adds.
-        assertThat(units).isLessThanOrEqualTo(bound - head.youngUnits * 1.3 / heads + 2);
+        // The instance that sent the hint may have used up this window: until it ends there is only
+        // what the ramp adds.
+        assertThat(units).isLessThanOrEqualTo(bound - instance.coldNodeUnits * 1.3 / instances + 2);
     }
 
-    /** The list may lag: the colder word holds, though this instance knows the node well. */
+    /** The node list may lag: the later start holds, even if this instance knows the node well. */
     @Test
-    void laterStartToldByOthersMakesAWarmNodeCold() {
-        PolicyHarness head = head(false);
-        head.read(1, 0);
-        head.end(1, 0, 0, Status.OK, 30);
-        assertThat(view(head).coldCapacityUnits()).isEqualTo(Double.MAX_VALUE);
-        head.brain().handleHint(head.now, hint(QUICK_US, false, head.now - 1000 * MS));
-        assertThat(view(head).coldCapacityUnits()).isLessThan(head.youngUnits);
-        head.brain().handleHint(head.now, hint(QUICK_US, false, 0));
-        assertThat(view(head).coldCapacityUnits()).isLessThan(head.youngUnits);
+    void laterStartReportedByOthersMakesAWarmNodeCold() {
+        PolicyHarness instance = instance(false);
+        instance.submitRead(1, 0);
+        instance.endAttempt(1, 0, 0, Status.OK, 30);
+        assertThat(view(instance).coldCapacityUnits()).isEqualTo(Double.MAX_VALUE);
+        instance.policy()
+                .handleHint(instance.now, hint(FAST_UNIT_MICROS, false, instance.now - 1000 * MS));
+        assertThat(view(instance).coldCapacityUnits()).isLessThan(instance.coldNodeUnits);
+        instance.policy().handleHint(instance.now, hint(FAST_UNIT_MICROS, false, 0));
+        assertThat(view(instance).coldCapacityUnits()).isLessThan(instance.coldNodeUnits);
     }
 
     @Test
-    void restartUnderTheSameIdAndUnknownNodesTakeNothingFromHearsay() {
-        PolicyHarness head = head(true);
-        head.brain().handleHint(head.now, hint(QUICK_US, true, 0));
-        head.brain().handleHint(head.now, new Hint(999, QUICK_US, 0, 0, 0, true, 0));
-        head.list(ListKind.DELTA, PolicyHarness.entry(0, State.READY, head.now - 60_000 * MS));
-        assertThat(view(head).silent()).isFalse();
-        assertThat(view(head).unconfirmed()).isFalse();
-        assertThat(head.brain().nodeViews(head.now)).hasSize(2);
+    void restartUnderTheSameIdAndUnknownNodesIgnoreHints() {
+        PolicyHarness instance = instance(true);
+        instance.policy().handleHint(instance.now, hint(FAST_UNIT_MICROS, true, 0));
+        instance.policy()
+                .handleHint(instance.now, new Hint(999, FAST_UNIT_MICROS, 0, 0, 0, true, 0));
+        instance.updateNodes(
+                ListKind.DELTA, PolicyHarness.entry(0, State.READY, instance.now - 60_000 * MS));
+        assertThat(view(instance).silent()).isFalse();
+        assertThat(view(instance).unconfirmed()).isFalse();
+        assertThat(instance.policy().nodeViews(instance.now)).hasSize(2);
     }
 }
--- a/src/test/java/cypressglade/core/LimitSharesTest.java
+++ b/src/test/java/cypressglade/core/LimitSharesTest.java
@@ -10,31 +10,31 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What the module makes of its parts of what a fleet shares. */
+/** How the policy applies the shares of limits that are allotted to its instance. */
 class LimitSharesTest {
     private static final long VOLUME = 7;
     private static final long NODE = 100;
-    private final PolicyHarness head = new PolicyHarness();
-    private int asked;
-    private int read;
+    private final PolicyHarness instance = new PolicyHarness();
+    private int submitted;
+    private int logIndex;
 
-    /** Units of the limited volume that leave when far more is asked for over a time. */
+    /** Returns the units sent for the limited volume while far more are requested. */
     private double spend(long ms) {
-        long before = head.count("send");
-        for (long end = head.now + ms * MS; head.now < end; head.pass(5)) {
-            int id = ++asked;
-            head.ask(id, id % 9, READ, LIMITED, 2, 1500, id);
+        long before = instance.count("send");
+        for (long end = instance.now + ms * MS; instance.now < end; instance.advance(5)) {
+            int id = ++submitted;
+            instance.submit(id, id % 9, READ, LIMITED, 2, 1500, id);
             answerSent();
         }
-        return 2.0 * (head.count("send") - before);
+        return 2.0 * (instance.count("send") - before);
     }
 
-    /** Each node answers what it was sent. */
+    /** Lets the nodes answer what they were sent. */
     private void answerSent() {
-        for (; read < head.log.size(); read++) {
-            String[] words = head.log.get(read).split(" ");
+        for (; logIndex < instance.log.size(); logIndex++) {
+            String[] words = instance.log.get(logIndex).split(" ");
             if (words[0].equals("send")) {
-                head.end(
+                instance.endAttempt(
                         Long.parseLong(words[1]),
                         0,
                         Integer.parseInt(words[2]),
@@ -44,65 +44,63 @@
         }
     }
 
-    private void parts(double own, double rest, double least, long holdsMs) {
-        head.brain()
+    private void applyShares(double own, double others, double min, long validMs) {
+        instance.policy()
                 .applyLimitShares(
-                        head.now,
+                        instance.now,
                         new Scheduler.LimitShares(
                                 Map.of(VOLUME, own),
                                 Map.of(),
-                                rest,
-                                least,
-                                head.now + holdsMs * MS));
+                                others,
+                                min,
+                                instance.now + validMs * MS));
     }
 
-    /** The plan allows 10 units a second and 32 at once; a fleet's part stands in place of half. */
+    /** The plan allows 10 units a second and 32 at once; the share replaces an even half. */
     @Test
-    void aPartStandsInPlaceOfAnEvenOneAndEndsWithItsTime() {
-        head.heads = 2;
-        head.start(9);
-        parts(0.9, 0.1, 0.1, 60_000);
-        spend(4000); // what was in the store is gone
+    void allottedShareReplacesTheEvenOneUntilItExpires() {
+        instance.instances = 2;
+        instance.start(9);
+        applyShares(0.9, 0.1, 0.1, 60_000);
+        spend(4000); // the token bucket is empty
         assertThat(spend(4000)).isBetween(30.0, 38.0);
-        parts(0.9, 0.1, 0.1, 0);
+        applyShares(0.9, 0.1, 0.1, 0);
         spend(1000);
-        assertThat(spend(4000)).as("word of later is lacking: the least").isBetween(2.0, 6.0);
+        assertThat(spend(4000)).as("expired: the minimum").isBetween(2.0, 6.0);
     }
 
-    /**
-     * A store that was filled by a large part is cut at once, and one that grows fills from where
-     * it is.
-     */
+    /** A smaller share cuts a full token bucket at once; a larger one fills it from where it is. */
     @Test
-    void aPartThatChangesNeitherKeepsNorMakesUnits() {
-        head.heads = 1;
-        head.start(9);
-        parts(1, 0, 0.05, 60_000);
-        head.pass(20_000);
-        parts(0.1, 0, 0.05, 60_000);
+    void changedShareNeitherKeepsNorCreatesUnits() {
+        instance.instances = 1;
+        instance.start(9);
+        applyShares(1, 0, 0.05, 60_000);
+        instance.advance(20_000);
+        applyShares(0.1, 0, 0.05, 60_000);
         assertThat(spend(10)).as("a tenth of 32").isLessThanOrEqualTo(4);
-        parts(1, 0, 0.05, 60_000);
+        applyShares(1, 0, 0.05, 60_000);
         assertThat(spend(500)).as("half a second's rate").isLessThanOrEqualTo(8);
     }
 
     @Test
-    void aColdNodeGetsThisHeadsPartAndNoTurns() {
-        head.heads = 4;
-        head.youngUnits = 40;
-        head.start(1);
-        head.list(ListKind.DELTA, PolicyHarness.entry(0, State.READY, head.now));
-        head.brain()
+    void coldNodeGetsTheAllottedShareWithoutTurns() {
+        instance.instances = 4;
+        instance.coldNodeUnits = 40;
+        instance.start(1);
+        instance.updateNodes(ListKind.DELTA, PolicyHarness.entry(0, State.READY, instance.now));
+        instance.policy()
                 .applyLimitShares(
-                        head.now,
+                        instance.now,
                         new Scheduler.LimitShares(
-                                Map.of(), Map.of(NODE, 0.5), 0, 0, head.now + 60_000 * MS));
-        assertThat(head.brain().nodeViews(head.now).get(0).coldCapacityUnits())
+                                Map.of(), Map.of(NODE, 0.5), 0, 0, instance.now + 60_000 * MS));
+        assertThat(instance.policy().nodeViews(instance.now).get(0).coldCapacityUnits())
                 .isBetween(19.0, 21.0);
-        head.brain()
+        instance.policy()
                 .applyLimitShares(
-                        head.now,
+                        instance.now,
                         new Scheduler.LimitShares(
-                                Map.of(), Map.of(NODE, 0.01), 0, 0, head.now + 60_000 * MS));
-        assertThat(head.brain().nodeViews(head.now).get(0).coldCapacityUnits()).isLessThan(1);
+                                Map.of(), Map.of(NODE, 0.01), 0, 0, instance.now + 60_000 * MS));
+        assertThat(instance.policy().nodeViews(instance.now).get(0).coldCapacityUnits())
+                .isLessThan(1);
     }
 }
--- a/src/test/java/cypressglade/core/PolicyHarness.java
+++ b/src/test/java/cypressglade/core/PolicyHarness.java
@@ -16,8 +16,7 @@
 import java.util.List;
 
 /**
- * One head under test: feeds events to a {@link SchedulingPolicy} and keeps what it orders, as
- * short lines.
+ * One instance under test: feeds events to its policy and logs the ordered actions as short lines.
  */
 final class PolicyHarness implements Scheduler.Actions {
     static final int READ = 0;
@@ -32,32 +31,32 @@
     final List<String> log = new ArrayList<>();
     long now = 1_000_000_000L;
     private final List<long[]> timers = new ArrayList<>();
-    private SchedulingPolicy brain;
-    private final List<Long> asked = new ArrayList<>();
+    private SchedulingPolicy policy;
+    private final List<Long> probedNodes = new ArrayList<>();
 
-    /** Rules and permissions of the head; change before {@link #start}. */
-    int heads = 4;
+    /** Settings of the instance; to be changed before {@link #start}. */
+    int instances = 4;
 
     Scope scope = Scope.CELL;
-    boolean onRequest;
-    boolean probes = true;
-    boolean budget;
-    double freeResends;
-    double youngUnits = 40;
+    boolean listOnRequest;
+    boolean mayProbe = true;
+    boolean hasAttemptBudget;
+    double freeFurtherAttempts;
+    double coldNodeUnits = 40;
 
     /** Whether healthy nodes answer probes by themselves; such probes are not logged. */
-    boolean probesAnswered = true;
+    boolean answersProbes = true;
 
     int rank;
-    double probePrice;
+    double probeCost;
 
     PolicyHarness start(int nodes) {
-        brain = new SchedulingPolicy(now, settings(), this);
+        policy = new SchedulingPolicy(now, settings(), this);
         NodeEntry[] entries = new NodeEntry[nodes];
         for (int i = 0; i < nodes; i++) {
             entries[i] = entry(i, State.READY, 0);
         }
-        list(ListKind.CACHED, entries);
+        updateNodes(ListKind.CACHED, entries);
         return this;
     }
 
@@ -65,15 +64,15 @@
         return new NodeEntry(100 + shard, 0, state, shard, 1, startedUs, 0);
     }
 
-    void list(ListKind kind, NodeEntry... entries) {
-        brain.updateNodes(now, kind, List.of(entries));
+    void updateNodes(ListKind kind, NodeEntry... entries) {
+        policy.updateNodes(now, kind, List.of(entries));
     }
 
-    void ask(long id, int shard, int type, int plan, double units, long leftMs, long key) {
-        ask(id, shard, type, plan, units, leftMs, key, 7);
+    void submit(long id, int shard, int type, int plan, double units, long leftMs, long key) {
+        submit(id, shard, type, plan, units, leftMs, key, 7);
     }
 
-    void ask(
+    void submit(
             long id,
             int shard,
             int type,
@@ -82,14 +81,14 @@
             long leftMs,
             long key,
             long volume) {
-        brain.handleRequest(
+        policy.handleRequest(
                 now,
                 new Request(
                         id,
                         shard,
                         type,
                         plan,
-                        heads,
+                        instances,
                         false,
                         type == WRITE,
                         volume,
@@ -100,21 +99,21 @@
     }
 
     private void answerProbes() {
-        while (!asked.isEmpty()) {
-            brain.handleProbe(now, asked.remove(0), Status.OK, MS, new float[0]);
+        while (!probedNodes.isEmpty()) {
+            policy.handleProbe(now, probedNodes.remove(0), Status.OK, MS, new float[0]);
         }
     }
 
-    SchedulingPolicy brain() {
-        return brain;
+    SchedulingPolicy policy() {
+        return policy;
     }
 
-    void read(long id, int shard) {
-        ask(id, shard, READ, PLAIN, 2, 1500, id);
+    void submitRead(long id, int shard) {
+        submit(id, shard, READ, PLAIN, 2, 1500, id);
     }
 
-    void end(long id, int attempt, int shard, Status status, long latencyMs) {
-        brain.handleOutcome(
+    void endAttempt(long id, int attempt, int shard, Status status, long latencyMs) {
+        policy.handleOutcome(
                 now,
                 new Outcome(
                         id,
@@ -129,15 +128,15 @@
     }
 
     void withdraw(long id) {
-        brain.handleWithdrawal(now, id);
+        policy.handleWithdrawal(now, id);
     }
 
-    void probed(int shard, Status status) {
-        brain.handleProbe(now, 100 + shard, status, MS, new float[0]);
+    void endProbe(int shard, Status status) {
+        policy.handleProbe(now, 100 + shard, status, MS, new float[0]);
     }
 
-    /** Lets time pass, with the timers that fall due. */
-    void pass(long ms) {
+    /** Advances the clock and fires the timers that are due by then. */
+    void advance(long ms) {
         long until = now + ms * MS;
         while (true) {
             long[] next = null;
@@ -151,7 +150,7 @@
             }
             timers.remove(next);
             now = next[0];
-            brain.handleTimer(now, next[1]);
+            policy.handleTimer(now, next[1]);
             answerProbes();
         }
         now = until;
@@ -161,8 +160,8 @@
         return log.stream().filter(line -> line.startsWith(prefix)).count();
     }
 
-    /** Final answers given to a request by the head itself. */
-    long answers(long id) {
+    /** Returns the number of final answers that the instance itself gave to a request. */
+    long finalAnswers(long id) {
         return log.stream()
                 .filter(line -> line.equals("refuse " + id) || line.equals("fail " + id))
                 .count();
@@ -173,22 +172,22 @@
                 new Limits(
                         4,
                         true,
-                        probes,
+                        mayProbe,
                         false,
                         true,
                         true,
                         500 * MS,
                         1000 * MS,
                         0,
-                        budget,
-                        freeResends,
+                        hasAttemptBudget,
+                        freeFurtherAttempts,
                         0,
                         5_000_000,
                         0.25,
                         10_000_000,
                         3,
                         3_000_000,
-                        youngUnits,
+                        coldNodeUnits,
                         200 * MS,
                         1);
         List<RequestClass> classes =
@@ -265,9 +264,9 @@
         return new Settings(
                 42,
                 rank,
-                heads,
+                instances,
                 0,
-                onRequest,
+                listOnRequest,
                 2 * MS,
                 classes,
                 plans,
@@ -279,7 +278,7 @@
                 0.05,
                 0,
                 false,
-                probePrice);
+                probeCost);
     }
 
     @Override
@@ -304,8 +303,8 @@
 
     @Override
     public void probe(long node) {
-        if (probesAnswered) {
-            asked.add(node);
+        if (answersProbes) {
+            probedNodes.add(node);
         } else {
             log.add("probe " + (node - 100));
         }
--- a/src/test/java/cypressglade/core/SourceLimitsTest.java
+++ b/src/test/java/cypressglade/core/SourceLimitsTest.java
@@ -7,33 +7,30 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** Limits on what one file may grow to, for whoever has to read it. */
+/** Limits on the size of source files, so that each stays readable. */
 class SourceLimitsTest {
-    private static final int MOST_LINES = 1030;
-    private static final int LONGEST_LINE = 110;
-    private static final Path BRAIN =
+    private static final int MAX_LINES = 1030;
+    private static final int MAX_LINE_LENGTH = 110;
+    private static final Path POLICY =
             Path.of("src/main/java/cypressglade/core/SchedulingPolicy.java");
 
-    /**
-     * Decisions may stand in several modules, so no count is asked of one; what is too large to
-     * read is split.
-     */
+    /** Decisions may be made in several modules; one that is too large to read is to be split. */
     @Test
-    void noSourceFileIsLongerThanTheDecisionModuleIs() throws IOException {
+    void noSourceFileIsTooLong() throws IOException {
         try (var files = Files.walk(Path.of("src/main"))) {
             for (Path file : files.filter(path -> path.toString().endsWith(".java")).toList()) {
                 int lines = Files.readAllLines(file).size();
-                assertTrue(lines > 0 && lines <= MOST_LINES, file + ": " + lines + " lines");
+                assertTrue(lines > 0 && lines <= MAX_LINES, file + ": " + lines + " lines");
             }
         }
     }
 
     @Test
-    void noLineOfTheSourcesIsTooLong() throws IOException {
+    void noSourceLineIsTooLong() throws IOException {
         try (var files = Files.walk(Path.of("src/main"))) {
             for (Path file : files.filter(path -> path.toString().endsWith(".java")).toList()) {
                 for (String line : Files.readAllLines(file)) {
-                    assertTrue(line.length() <= LONGEST_LINE, file + ": " + line);
+                    assertTrue(line.length() <= MAX_LINE_LENGTH, file + ": " + line);
                 }
             }
         }
@@ -41,7 +38,7 @@
 
     @Test
     void headerNamesTheInterfaceFile() throws IOException {
-        String text = Files.readString(BRAIN);
+        String text = Files.readString(POLICY);
         assertTrue(
                 text.substring(0, text.indexOf("class SchedulingPolicy"))
                         .contains("Scheduler.java"));
