--- a/src/main/java/cypressglade/cli/OperatorFiles.java
+++ b/src/main/java/cypressglade/cli/OperatorFiles.java
@@ -3,7 +3,7 @@
 import cypressglade.control.ControlConfig;
 import cypressglade.nbd.NbdConfig;
 import cypressglade.peer.PeersConfig;
-import cypressglade.storm.Terms;
+import cypressglade.storm.StormSettings;
 import java.util.Optional;
 
 /** What the operator's own files say; each part is off where its file is not there or says so. */
@@ -11,7 +11,7 @@
         Optional<NbdConfig> nbd,
         Optional<PeersConfig> peers,
         Optional<ControlConfig> control,
-        Optional<Terms> storms) {
+        Optional<StormSettings> storms) {
     /** As on the platform. */
     public static final OperatorFiles NONE =
             new OperatorFiles(
--- a/src/main/java/cypressglade/cli/Serve.java
+++ b/src/main/java/cypressglade/cli/Serve.java
@@ -23,8 +23,8 @@
 import cypressglade.peer.Peers;
 import cypressglade.peer.PeersConfig;
 import cypressglade.share.Verdicts.Verdict;
-import cypressglade.storm.Terms;
-import cypressglade.storm.Waves;
+import cypressglade.storm.ConnectionPacer;
+import cypressglade.storm.StormSettings;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -99,7 +99,7 @@
         loop = new Loop();
         NodeDirectory directory = new NodeDirectory();
         engine = new Engine(config.settings(), directory, counters, files.storms());
-        doubts = files.storms().flatMap(Terms::doubtDirectory).map(DoubtFile::new);
+        doubts = files.storms().flatMap(StormSettings::uncertainWriteDirectory).map(DoubtFile::new);
         doubts.ifPresent(kept -> kept.open(engine));
         pool = new RequestPool(config.budget().requests(), STACK_BYTES, counters);
         connections =
@@ -199,7 +199,11 @@
                         nodes,
                         () -> ready && !evacuated,
                         config.budget(),
-                        files.storms().map(terms -> new Waves(terms.connects(), Time.now())));
+                        files.storms()
+                                .map(
+                                        terms ->
+                                                new ConnectionPacer(
+                                                        terms.connectionsPerSecond(), Time.now())));
         blockClients =
                 files.nbd().isEmpty()
                         ? Optional.empty()
--- a/src/main/java/cypressglade/config/StormsConfigParser.java
+++ b/src/main/java/cypressglade/config/StormsConfigParser.java
@@ -1,6 +1,6 @@
 package cypressglade.config;
 
-import cypressglade.storm.Terms;
+import cypressglade.storm.StormSettings;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -19,13 +19,13 @@
     private StormsConfigParser() {}
 
     /** Reads the file; each value that is not there is the usual one. */
-    public static Optional<Terms> read(Path path) throws ConfigException {
+    public static Optional<StormSettings> read(Path path) throws ConfigException {
         Optional<Values> enabled = Values.ifEnabled(path);
         if (enabled.isEmpty()) {
             return Optional.empty();
         }
         Values values = enabled.get();
-        Terms usual = Terms.USUAL;
+        StormSettings usual = StormSettings.DEFAULTS;
         Optional<Path> kept =
                 values.text("doubt_dir", "").isEmpty()
                         ? Optional.empty()
@@ -41,17 +41,27 @@
                             + kept.get());
         }
         return Optional.of(
-                new Terms(
+                new StormSettings(
                         Duration.ofMillis(
-                                values.whole("slot_ms", 1, MOST_SLOT_MS, usual.slot().toMillis())),
-                        part(values, "room", usual.room(), false),
-                        part(values, "second_tries", usual.secondTries(), true),
+                                values.whole(
+                                        "slot_ms", 1, MOST_SLOT_MS, usual.slotLength().toMillis())),
+                        part(values, "room", usual.promisedSpeedFraction(), false),
+                        part(values, "second_tries", usual.retryRatio(), true),
                         Duration.ofMillis(
-                                values.whole("back_ms", 0, MOST_BACK_MS, usual.back().toMillis())),
-                        (int) values.whole("connects", 1, MOST_CONNECTS, usual.connects()),
+                                values.whole(
+                                        "back_ms",
+                                        0,
+                                        MOST_BACK_MS,
+                                        usual.recoveryTime().toMillis())),
+                        (int)
+                                values.whole(
+                                        "connects", 1, MOST_CONNECTS, usual.connectionsPerSecond()),
                         Duration.ofSeconds(
                                 values.whole(
-                                        "doubt_s", 0, MOST_DOUBT_S, usual.doubt().toSeconds())),
+                                        "doubt_s",
+                                        0,
+                                        MOST_DOUBT_S,
+                                        usual.uncertainWriteTtl().toSeconds())),
                         kept));
     }
 
--- a/src/main/java/cypressglade/core/Engine.java
+++ b/src/main/java/cypressglade/core/Engine.java
@@ -8,7 +8,7 @@
 import cypressglade.core.Scheduler.Outcome;
 import cypressglade.core.Scheduler.Settings;
 import cypressglade.core.Scheduler.Status;
-import cypressglade.storm.Terms;
+import cypressglade.storm.StormSettings;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.Comparator;
@@ -38,7 +38,7 @@
     private final Counters counters;
     private final Scheduler scheduler;
     private final Duration coldSpan;
-    private final Optional<Terms> storms;
+    private final Optional<StormSettings> storms;
     private final Optional<Gate> gate;
     private Instant gateLook = Instant.MAX;
     private boolean saving;
@@ -103,7 +103,10 @@
 
     /** The same, with what is done about storms of second tries; off without. */
     public Engine(
-            Settings settings, NodeDirectory directory, Counters counters, Optional<Terms> storms) {
+            Settings settings,
+            NodeDirectory directory,
+            Counters counters,
+            Optional<StormSettings> storms) {
         this.directory = directory;
         this.counters = counters;
         this.settings = settings;
--- a/src/main/java/cypressglade/core/RequestLife.java
+++ b/src/main/java/cypressglade/core/RequestLife.java
@@ -5,7 +5,7 @@
 import cypressglade.core.NodeLink.Ending;
 import cypressglade.core.RequestLog.What;
 import cypressglade.core.Scheduler.Status;
-import cypressglade.storm.Try;
+import cypressglade.storm.ClientRequest;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.concurrent.atomic.AtomicReference;
@@ -43,7 +43,7 @@
     int ordered;
     int ended;
     // The same for its gate, where there is one.
-    Try asTry;
+    ClientRequest asTry;
     Instant firstSent;
     boolean mayHaveRun;
 
--- a/src/main/java/cypressglade/http/ClientListener.java
+++ b/src/main/java/cypressglade/http/ClientListener.java
@@ -15,8 +15,8 @@
 import cypressglade.core.Time;
 import cypressglade.net.Listening;
 import cypressglade.net.Loop;
-import cypressglade.storm.Intake;
-import cypressglade.storm.Waves;
+import cypressglade.storm.ConnectionLimiter;
+import cypressglade.storm.ConnectionPacer;
 import io.undertow.Handlers;
 import io.undertow.UndertowOptions;
 import io.undertow.connector.PooledByteBuffer;
@@ -127,8 +127,8 @@
     private int receiving;
     private int holding; // bodies of requests that are open
     private int answering;
-    private final Intake intake = new Intake(LEAST_CLIENTS, LATE);
-    private final Optional<Waves> waves;
+    private final ConnectionLimiter intake = new ConnectionLimiter(LEAST_CLIENTS, LATE);
+    private final Optional<ConnectionPacer> waves;
     private int came; // connections, since the last look at how they come
     private int atOnce = Integer.MAX_VALUE;
     private int acceptedAtOnce = Integer.MAX_VALUE;
@@ -147,7 +147,7 @@
             NodeLink<HttpWork> link,
             BooleanSupplier ready,
             Budget budget,
-            Optional<Waves> waves) {
+            Optional<ConnectionPacer> waves) {
         this.waves = waves;
         this.loop = loop;
         this.engine = engine;
@@ -182,11 +182,12 @@
     private void pace(Instant due) {
         Instant now = Time.now();
         atOnce =
-                intake.look(Duration.between(due, now), clients.size(), budget.clientConnections());
-        loop.late(intake.lateness());
+                intake.update(
+                        Duration.between(due, now), clients.size(), budget.clientConnections());
+        loop.late(intake.meanLateness());
         int accepted = atOnce;
         if (waves.isPresent()) { // it paces those who come, and turns away none who are here
-            int more = waves.get().look(came, now);
+            int more = waves.get().update(came, now);
             accepted =
                     more == Integer.MAX_VALUE
                             ? atOnce
--- a/src/main/java/cypressglade/lab/StormLab.java
+++ b/src/main/java/cypressglade/lab/StormLab.java
@@ -1,11 +1,10 @@
 package cypressglade.lab;
 
-import cypressglade.storm.Storms;
-import cypressglade.storm.Storms.Answer;
-import cypressglade.storm.Storms.Speed;
-import cypressglade.storm.Terms;
-import cypressglade.storm.Try;
-import cypressglade.storm.Weather;
+import cypressglade.storm.ClientRequest;
+import cypressglade.storm.RetryAdmission;
+import cypressglade.storm.RetryAdmission.Speed;
+import cypressglade.storm.StormDetector;
+import cypressglade.storm.StormSettings;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -21,10 +20,10 @@
 /**
  * Storms of second tries in virtual time, without sockets: schedulers, nodes that work off a queue,
  * come back cold and put off a part of their writes' work, and clients with habits of coming again.
- * What is done about storms is the code of the program ({@link Storms}); who is sent on is decided
- * by a plain rule in place of the decision module: each scheduler has as much out at a node as is
- * worked off in a part of a client's patience, one request at the least, and refuses what comes
- * beyond; at a node that gave no answer in time they test in turn, by a request each.
+ * What is done about storms is the code of the program ({@link RetryAdmission}); who is sent on is
+ * decided by a plain rule in place of the decision module: each scheduler has as much out at a node
+ * as is worked off in a part of a client's patience, one request at the least, and refuses what
+ * comes beyond; at a node that gave no answer in time they test in turn, by a request each.
  *
  * <p>All chance comes from the scene's seed. A scene is played by {@link #play}, once.
  */
@@ -47,13 +46,13 @@
     private static final double RECOVERED = 0.95;
     private static final int STEADY = 3; // seconds that have to be as good, one after another
 
-    private static final Storms.Out QUIET =
-            new Storms.Out() {
+    private static final RetryAdmission.Listener QUIET =
+            new RetryAdmission.Listener() {
                 @Override
-                public void turned(String place, Weather.State state, Instant at) {}
+                public void stateChanged(String place, StormDetector.State state, Instant at) {}
 
                 @Override
-                public void counted(Storms.Count what) {}
+                public void counted(RetryAdmission.Count what) {}
             };
 
     private final Scene scene;
@@ -102,7 +101,7 @@
             List<Habit> habits,
             List<Outage> outages,
             Duration span,
-            Optional<Terms> storms,
+            Optional<StormSettings> storms,
             long seed) {}
 
     /**
@@ -114,7 +113,7 @@
      *     before
      * @param tries of clients, first and further ones
      * @param turned away before the plain rule was asked
-     * @param decisionUs processor time that {@link Storms} took for a decision, on average
+     * @param decisionUs processor time that {@link RetryAdmission} took for a decision, on average
      * @param perSecond how many were served in each second
      * @param served part of what was asked that was served in the end, by habit
      */
@@ -194,7 +193,7 @@
 
     /** A scheduler: what it lately saw of each node, and what it does about storms. */
     private final class Head {
-        private final Optional<Storms> storms;
+        private final Optional<RetryAdmission> storms;
         private final int[] out = new int[scene.nodes];
         private final int most =
                 (int)
@@ -213,10 +212,12 @@
             Arrays.fill(tested, Instant.EPOCH);
             storms =
                     scene.storms.map(
-                            terms -> new Storms(terms, new SplittableRandom(seed), QUIET, now));
+                            terms ->
+                                    new RetryAdmission(
+                                            terms, new SplittableRandom(seed), QUIET, now));
             storms.ifPresent(
                     kept -> {
-                        kept.longest(LONGEST_ADVICE);
+                        kept.setMaxRetryDelay(LONGEST_ADVICE);
                         look();
                     });
         }
@@ -230,15 +231,15 @@
                             new Speed(node.speed() / scene.schedulers, Double.POSITIVE_INFINITY));
                 }
             }
-            storms.get().speeds(speeds);
+            storms.get().setNodeSpeeds(speeds);
             storms.get().tick(now);
             after(LOOK, this::look);
         }
 
         void came(Ask ask) {
             Instant expiry = now.plus(PATIENCE);
-            Try one =
-                    new Try(
+            ClientRequest one =
+                    new ClientRequest(
                             ask.node,
                             ask.client,
                             1,
@@ -246,19 +247,19 @@
                             ask.write ? 1 : 0,
                             UNITS,
                             ask.tries > 1,
-                            Try.Effect.NONE,
+                            ClientRequest.Effect.NONE,
                             0,
                             Duration.ZERO,
                             expiry);
             tries++;
             if (storms.isPresent()) {
                 long from = System.nanoTime();
-                Storms.Decision decision = storms.get().arrived(one, now);
+                RetryAdmission.Decision decision = storms.get().admit(one, now);
                 nanos += System.nanoTime() - from;
                 decisions++;
-                if (decision.answer() == Answer.TURNED_AWAY) {
+                if (decision.outcome() == RetryAdmission.Outcome.TURNED_AWAY) {
                     turned++;
-                    refused(ask, decision.comeBack());
+                    refused(ask, decision.retryAfter());
                     return;
                 }
             }
@@ -278,7 +279,7 @@
                             out[ask.node]--;
                             down[ask.node] = !inTime;
                             if (inTime) {
-                                storms.ifPresent(kept -> kept.served(one, now));
+                                storms.ifPresent(kept -> kept.recordServed(one, now));
                                 answer(ask);
                             } else {
                                 again(ask, Duration.ZERO);
@@ -304,11 +305,11 @@
             return true;
         }
 
-        private void refuse(Ask ask, Try one) {
+        private void refuse(Ask ask, ClientRequest one) {
             Duration advice = PLAIN_ADVICE;
             if (storms.isPresent()) {
                 long from = System.nanoTime();
-                advice = storms.get().refused(one, PLAIN_ADVICE, now);
+                advice = storms.get().scheduleRetry(one, PLAIN_ADVICE, now);
                 nanos += System.nanoTime() - from;
             }
             refused(ask, advice);
@@ -406,21 +407,21 @@
     }
 
     /** Microseconds of processor time of one refused second try, in a storm over so many nodes. */
-    public static double cost(int nodes, int tries, Terms terms, long seed) {
+    public static double cost(int nodes, int tries, StormSettings terms, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Storms storms = new Storms(terms, random, QUIET, Instant.EPOCH);
+        RetryAdmission storms = new RetryAdmission(terms, random, QUIET, Instant.EPOCH);
         Map<Integer, Speed> speeds = new HashMap<>();
         for (int node = 0; node < nodes; node++) {
             speeds.put(node, new Speed(100, Double.POSITIVE_INFINITY));
         }
-        storms.speeds(speeds);
-        storms.longest(LONGEST_ADVICE);
+        storms.setNodeSpeeds(speeds);
+        storms.setMaxRetryDelay(LONGEST_ADVICE);
         Instant at = Instant.EPOCH;
         long from = System.nanoTime();
         for (int i = 0; i < tries; i++) {
             at = at.plusNanos(100_000); // 10,000 a second
-            Try one =
-                    new Try(
+            ClientRequest one =
+                    new ClientRequest(
                             random.nextInt(nodes),
                             random.nextInt(1000),
                             1,
@@ -428,12 +429,12 @@
                             0,
                             UNITS,
                             i % 4 > 0,
-                            Try.Effect.NONE,
+                            ClientRequest.Effect.NONE,
                             0,
                             Duration.ZERO,
                             Instant.MAX);
-            if (storms.arrived(one, at).answer() == Answer.PASS) {
-                storms.refused(one, PLAIN_ADVICE, at);
+            if (storms.admit(one, at).outcome() == RetryAdmission.Outcome.PASS) {
+                storms.scheduleRetry(one, PLAIN_ADVICE, at);
             }
         }
         return (System.nanoTime() - from) / 1e3 / tries;
--- /dev/null
+++ b/src/main/java/cypressglade/storm/ClientRequest.java
@@ -0,0 +1,50 @@
+package cypressglade.storm;
+
+import java.time.Duration;
+import java.time.Instant;
+
+/**
+ * One request of a client, original or retry, as far as retry admission needs to know it.
+ *
+ * @param shard number of the shard that holds the data, or negative where any node can take it
+ * @param volume id of the volume
+ * @param weight weight of the volume's plan among others, above 0
+ * @param key the data that the request touches
+ * @param requestClass index of the request's class in the settings
+ * @param units cost of the request in cost units
+ * @param isRetry whether the client marks it as a retry of an earlier request
+ * @param effect what running it a second time would do
+ * @param token stands for the client's idempotency key, 0 where it gave none
+ * @param keyTtl how long nodes remember an idempotency key and drop repeats of it
+ * @param expiry when the client gives up on this request
+ */
+public record ClientRequest(
+        int shard,
+        long volume,
+        double weight,
+        long key,
+        int requestClass,
+        double units,
+        boolean isRetry,
+        Effect effect,
+        long token,
+        Duration keyTtl,
+        Instant expiry) {
+
+    /** What running a request a second time would do. */
+    public enum Effect {
+        /** Nothing that the first run has not done. */
+        NONE,
+        /** Nothing while nodes remember its idempotency key, as they drop the repeat. */
+        DROPPED,
+        /** The write would be applied twice. */
+        TWICE
+    }
+
+    /** What an original request and its retries have in common. */
+    record Fingerprint(long volume, long key, int requestClass, double units, long token) {}
+
+    Fingerprint fingerprint() {
+        return new Fingerprint(volume, key, requestClass, units, token);
+    }
+}
--- a/src/main/java/cypressglade/storm/package-info.java
+++ b/src/main/java/cypressglade/storm/package-info.java
@@ -1,5 +1,9 @@
 /**
- * Storms: more comes than this program can read and answer. Decides only; what was measured comes
- * in as arguments, and nothing here does I/O. Ways and reasons: {@code docs/storms.md}.
+ * Detects and damps storms of client retries, and smooths waves of new connections, when more
+ * arrives than this program can read and answer.
+ *
+ * <p>The package only decides: measurements, time and randomness come in as arguments, nothing here
+ * does I/O, and it depends on no other package of this program. The methods and their reasons are
+ * described in {@code docs/storms.md}.
  */
 package cypressglade.storm;
--- a/src/test/java/cypressglade/http/StormFrontTest.java
+++ b/src/test/java/cypressglade/http/StormFrontTest.java
@@ -8,7 +8,7 @@
 import cypressglade.standin.HttpPeer;
 import cypressglade.standin.HttpPeer.Message;
 import cypressglade.standin.Site;
-import cypressglade.storm.Terms;
+import cypressglade.storm.StormSettings;
 import java.io.DataInputStream;
 import java.io.IOException;
 import java.net.Socket;
@@ -62,11 +62,11 @@
                                         "\"doubt_dir\": \""
                                                 + doubts.map(Path::toString).orElse("")
                                                 + "\""));
-        Optional<Terms> terms = StormsConfigParser.read(file);
+        Optional<StormSettings> terms = StormsConfigParser.read(file);
         return new Site(Site.entry(0, node.hostPort(), "active", 0), files(terms));
     }
 
-    private static OperatorFiles files(Optional<Terms> terms) {
+    private static OperatorFiles files(Optional<StormSettings> terms) {
         return new OperatorFiles(Optional.empty(), Optional.empty(), Optional.empty(), terms);
     }
 
@@ -100,7 +100,7 @@
         try (Site site = site(Optional.empty())) {
             doubt(site);
             secondTryIsNotSent(site, "while the first runs");
-            site.serve.use(site.config, files(Optional.of(Terms.USUAL)));
+            site.serve.use(site.config, files(Optional.of(StormSettings.DEFAULTS)));
             secondTryIsNotSent(site, "after a reload");
             late.countDown();
             Site.await(() -> site.serve.counters().get(Name.ENDED_OK) == 1);
--- a/src/test/java/cypressglade/lab/StormLabTest.java
+++ b/src/test/java/cypressglade/lab/StormLabTest.java
@@ -6,7 +6,7 @@
 import cypressglade.lab.StormLab.Outage;
 import cypressglade.lab.StormLab.Result;
 import cypressglade.lab.StormLab.Scene;
-import cypressglade.storm.Terms;
+import cypressglade.storm.StormSettings;
 import java.time.Duration;
 import java.util.List;
 import java.util.Optional;
@@ -35,7 +35,7 @@
                                 MIXED,
                                 outages,
                                 SPAN,
-                                damped ? Optional.of(Terms.USUAL) : Optional.empty(),
+                                damped ? Optional.of(StormSettings.DEFAULTS) : Optional.empty(),
                                 7))
                 .play();
     }
--- a/src/test/java/cypressglade/storm/StormMeasure.java
+++ b/src/test/java/cypressglade/storm/StormMeasure.java
@@ -26,49 +26,58 @@
 import java.util.stream.IntStream;
 
 /**
- * {@code make measure-storms}: an outage of half of the nodes on real sockets at twice the normal
- * load, with what is done about storms and without; the same at 100 schedulers, 1,000 nodes and
- * 100,000 clients in the model; and what a decision costs at 10, 100 and 1,000 nodes.
+ * {@code make measure-storms}: measures an outage of half of the nodes on real sockets at twice the
+ * normal load, with the handling of retry storms on and off; the same with 100 schedulers, 1,000
+ * nodes and 100,000 clients in the model; and the cost of a decision at 10, 100 and 1,000 nodes.
  */
 public final class StormMeasure {
     private static final int NODES = 4;
     private static final double NODE_MS = 2;
-    private static final int LOSES_EVERY = 200; // answers: what ran and was not told of comes again
+    // Each node loses one of so many answers, so that writes that have run are retried.
+    private static final int ANSWERS_PER_LOSS = 200;
     private static final int CLIENTS = 128;
-    private static final int MOST_TRIES = 12;
-    private static final int EXPIRES_MS = 700;
+    private static final int MAX_SENDS = 12;
+    private static final int EXPIRY_MS = 700;
     // Twice the normal load: half of all nodes' speed.
-    private static final Duration THINK = Duration.ofMillis(60);
-    private static final int OUT_FROM_S = 3;
-    private static final int OUT_TO_S = 8;
-    private static final int SPAN_S = 16;
-    private static final double MOST_RECOVERY_S = 30;
-    private static final double COST_GROWTH = 2;
+    private static final Duration THINK_TIME = Duration.ofMillis(60);
+    private static final int OUTAGE_START_S = 3;
+    private static final int OUTAGE_END_S = 8;
+    private static final int DURATION_S = 16;
+    private static final double MAX_RECOVERY_S = 30;
+    private static final double MAX_COST_GROWTH = 2;
 
     private final Figures figures = new Figures();
 
-    /** What one run on real sockets found. */
+    /** Results of one run on real sockets; see runClient for the index of the arrays. */
     private static final class Run {
-        private final AtomicIntegerArray perSecond = new AtomicIntegerArray(SPAN_S + 1);
+        private final AtomicIntegerArray servedPerSecond = new AtomicIntegerArray(DURATION_S + 1);
         private final LongAdder writes = new LongAdder();
-        private final LongAdder[] asked = {new LongAdder(), new LongAdder()};
+        private final LongAdder[] requested = {new LongAdder(), new LongAdder()};
         private final LongAdder[] served = {new LongAdder(), new LongAdder()};
-        private long twice;
+        private long writesRunTwice;
         private double overshoot;
 
-        private double share(int habit) {
-            return served[habit].sum() / (double) Math.max(1, asked[habit].sum());
+        private double servedFraction(int habit) {
+            return served[habit].sum() / (double) Math.max(1, requested[habit].sum());
         }
 
         /**
-         * Seconds from the outage's end until three seconds together serve 95% of what was before.
+         * Seconds from the end of the outage until three seconds in a row serve 95% of the rate
+         * before.
          */
-        private double recovery() {
-            double before = IntStream.range(1, OUT_FROM_S).map(perSecond::get).average().orElse(0);
-            for (int second = OUT_TO_S; second + 3 <= SPAN_S; second++) {
-                if (IntStream.range(second, second + 3).map(perSecond::get).average().orElse(0)
+        private double recoverySeconds() {
+            double before =
+                    IntStream.range(1, OUTAGE_START_S)
+                            .map(servedPerSecond::get)
+                            .average()
+                            .orElse(0);
+            for (int second = OUTAGE_END_S; second + 3 <= DURATION_S; second++) {
+                if (IntStream.range(second, second + 3)
+                                .map(servedPerSecond::get)
+                                .average()
+                                .orElse(0)
                         >= 0.95 * before) {
-                    return second - OUT_TO_S;
+                    return second - OUTAGE_END_S;
                 }
             }
             return Double.POSITIVE_INFINITY;
@@ -80,38 +89,45 @@
     }
 
     private void run() throws Exception {
-        Run off = sockets(Optional.empty());
-        Run on = sockets(Optional.of(Terms.USUAL));
-        figures.atMost("recovery_s", on.recovery(), MOST_RECOVERY_S);
-        figures.say("recovery_s_off", off.recovery());
-        figures.say("served_least_in_a_second", least(on));
-        figures.say("served_least_in_a_second_off", least(off));
+        Run off = runOnSockets(Optional.empty());
+        Run on = runOnSockets(Optional.of(StormSettings.DEFAULTS));
+        figures.atMost("recovery_s", on.recoverySeconds(), MAX_RECOVERY_S);
+        figures.say("recovery_s_off", off.recoverySeconds());
+        figures.say("served_least_in_a_second", minServedPerSecond(on));
+        figures.say("served_least_in_a_second_off", minServedPerSecond(off));
         figures.atLeast("writes", on.writes.sum(), 20_000);
-        figures.atMost("writes_run_twice", on.twice, 0);
-        figures.atLeast("writes_run_twice_off", off.twice, 1); // or the rig has nothing to tell by
+        figures.atMost("writes_run_twice", on.writesRunTwice, 0);
+        figures.atLeast(
+                "writes_run_twice_off",
+                off.writesRunTwice,
+                1); // otherwise the measurement proves nothing
         figures.atMost("cold_overshoot", on.overshoot, 1);
-        figures.say("served_share_heeding", on.share(0));
-        figures.say("served_share_deaf", on.share(1));
-        figures.atMost("deaf_advantage", on.share(1) / on.share(0), 1);
-        model();
-        double[] cost = IntStream.of(10, 100, 1000).mapToDouble(StormMeasure::cost).toArray();
-        figures.say("decision_us_10", cost[0]);
-        figures.say("decision_us_100", cost[1]);
-        figures.say("decision_us_1000", cost[2]);
-        figures.atMost("decision_growth", cost[2] / cost[0], COST_GROWTH);
+        figures.say("served_share_heeding", on.servedFraction(0));
+        figures.say("served_share_deaf", on.servedFraction(1));
+        figures.atMost("deaf_advantage", on.servedFraction(1) / on.servedFraction(0), 1);
+        runModel();
+        double[] micros =
+                IntStream.of(10, 100, 1000).mapToDouble(StormMeasure::decisionMicros).toArray();
+        figures.say("decision_us_10", micros[0]);
+        figures.say("decision_us_100", micros[1]);
+        figures.say("decision_us_1000", micros[2]);
+        figures.atMost("decision_growth", micros[2] / micros[0], MAX_COST_GROWTH);
         figures.end();
     }
 
-    private static double least(Run run) {
-        return IntStream.range(OUT_FROM_S, SPAN_S).map(run.perSecond::get).min().orElse(0);
+    private static double minServedPerSecond(Run run) {
+        return IntStream.range(OUTAGE_START_S, DURATION_S)
+                .map(run.servedPerSecond::get)
+                .min()
+                .orElse(0);
     }
 
-    // ---- real sockets
+    // Real sockets.
 
-    private static Run sockets(Optional<Terms> storms) throws Exception {
+    private static Run runOnSockets(Optional<StormSettings> settings) throws Exception {
         List<OutageNode> nodes = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
-            nodes.add(new OutageNode(NODE_MS, LOSES_EVERY));
+            nodes.add(new OutageNode(NODE_MS, ANSWERS_PER_LOSS));
         }
         String entries =
                 IntStream.range(0, NODES)
@@ -122,22 +138,23 @@
                 new Site(
                         entries,
                         new OperatorFiles(
-                                Optional.empty(), Optional.empty(), Optional.empty(), storms))) {
+                                Optional.empty(), Optional.empty(), Optional.empty(), settings))) {
             long start = System.nanoTime();
-            long end = start + TimeUnit.SECONDS.toNanos(SPAN_S);
+            long end = start + TimeUnit.SECONDS.toNanos(DURATION_S);
             List<Thread> clients = new ArrayList<>();
             for (int i = 0; i < CLIENTS; i++) {
                 int number = i;
-                Thread thread = new Thread(() -> client(site, run, number, start, end), "client");
+                Thread thread =
+                        new Thread(() -> runClient(site, run, number, start, end), "client");
                 thread.start();
                 clients.add(thread);
             }
-            sleepUntil(start + TimeUnit.SECONDS.toNanos(OUT_FROM_S));
+            sleepUntil(start + TimeUnit.SECONDS.toNanos(OUTAGE_START_S));
             for (OutageNode node : nodes.subList(0, NODES / 2)) {
                 node.away(true);
             }
-            for (int second = OUT_FROM_S; second < OUT_TO_S; second++) {
-                site.lists.add(" "); // the watch lives, as discovery says with an empty line
+            for (int second = OUTAGE_START_S; second < OUTAGE_END_S; second++) {
+                site.lists.add(" "); // an empty line of discovery keeps its watch alive
                 sleepUntil(start + TimeUnit.SECONDS.toNanos(second + 1));
             }
             for (int i = 0; i < NODES / 2; i++) {
@@ -150,7 +167,7 @@
             for (Thread client : clients) {
                 client.join();
             }
-            run.twice =
+            run.writesRunTwice =
                     nodes.stream()
                             .flatMap(node -> node.runs.values().stream())
                             .filter(runs -> runs > 1)
@@ -165,33 +182,36 @@
     }
 
     /**
-     * The most that came in a second since the node was back, of twice what it could do at that
-     * time.
+     * The largest number of requests in any second since the node came back, as a part of twice its
+     * speed at that time.
      */
     private static double overshoot(OutageNode node) {
-        long[] came = node.sinceBack.stream().mapToLong(Long::longValue).sorted().toArray();
-        double most = 0;
+        long[] arrivals = node.sinceBack.stream().mapToLong(Long::longValue).sorted().toArray();
+        double max = 0;
         int from = 0;
-        for (int i = 0; i < came.length; i++) {
-            while (came[from] < came[i] - 1_000_000_000L) {
+        for (int i = 0; i < arrivals.length; i++) {
+            while (arrivals[from] < arrivals[i] - 1_000_000_000L) {
                 from++;
             }
-            most = Math.max(most, (i - from + 1) / (2 * node.speed(came[from])));
+            max = Math.max(max, (i - from + 1) / (2 * node.speed(arrivals[from])));
         }
-        return most;
+        return max;
     }
 
     private static void sleepUntil(long nanos) throws InterruptedException {
         TimeUnit.NANOSECONDS.sleep(Math.max(0, nanos - System.nanoTime()));
     }
 
-    /** Every other client heeds the time that it is told; the others come again at once. */
-    private static void client(Site site, Run run, int number, long start, long end) {
+    /**
+     * One client: those of even number wait for the retry time that they are told (index 0 in the
+     * results), the others ignore it and retry after 5 ms (index 1).
+     */
+    private static void runClient(Site site, Run run, int number, long start, long end) {
         SplittableRandom random = new SplittableRandom(number);
-        int deaf = number % 2;
+        int habit = number % 2;
         Socket socket = null;
         try {
-            sleepUntil(start + random.nextLong(THINK.toNanos()));
+            sleepUntil(start + random.nextLong(THINK_TIME.toNanos()));
             while (System.nanoTime() < end) {
                 int shard = random.nextInt(NODES);
                 String path =
@@ -199,19 +219,19 @@
                                 + String.format("%016x", number % 16)
                                 + "/"
                                 + String.format("%016x", random.nextLong());
-                run.asked[deaf].increment();
+                run.requested[habit].increment();
                 run.writes.increment();
-                for (int tries = 0; tries < MOST_TRIES && System.nanoTime() < end; tries++) {
+                for (int sends = 0; sends < MAX_SENDS && System.nanoTime() < end; sends++) {
                     Message answer = null;
                     try {
                         socket = socket == null ? site.connect() : socket;
                         String headers =
                                 Site.headers(
-                                        EXPIRES_MS,
+                                        EXPIRY_MS,
                                         "standard",
                                         "units=1,shard=" + shard + ",hosts=1");
-                        String second = tries > 0 ? "X-Second-Try: 1\r\n" : "";
-                        String request = Site.request("PUT", path, headers + second, "data");
+                        String retryHeader = sends > 0 ? "X-Second-Try: 1\r\n" : "";
+                        String request = Site.request("PUT", path, headers + retryHeader, "data");
                         socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
                         answer = Message.read(new DataInputStream(socket.getInputStream()));
                     } catch (IOException closed) {
@@ -224,11 +244,11 @@
                         socket = null;
                     }
                     if (answer != null && answer.status() == 200) {
-                        run.served[deaf].increment();
-                        run.perSecond.incrementAndGet(
+                        run.served[habit].increment();
+                        run.servedPerSecond.incrementAndGet(
                                 (int)
                                         Math.min(
-                                                SPAN_S,
+                                                DURATION_S,
                                                 (System.nanoTime() - start) / 1_000_000_000L));
                         break;
                     }
@@ -238,11 +258,12 @@
                                     : Double.parseDouble(
                                             answer.headers().getOrDefault("retry-after", "0"));
                     TimeUnit.MICROSECONDS.sleep(
-                            deaf == 1 ? 5_000 : (long) (1e6 * Math.max(0.005, wait)));
+                            habit == 1 ? 5_000 : (long) (1e6 * Math.max(0.005, wait)));
                 }
-                TimeUnit.NANOSECONDS.sleep((long) (THINK.toNanos() * (0.5 + random.nextDouble())));
+                TimeUnit.NANOSECONDS.sleep(
+                        (long) (THINK_TIME.toNanos() * (0.5 + random.nextDouble())));
             }
-        } catch (InterruptedException cut) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         } finally {
             closeQuietly(socket);
@@ -254,14 +275,14 @@
             if (socket != null) {
                 socket.close();
             }
-        } catch (IOException gone) {
-            // it is over either way
+        } catch (IOException alreadyClosed) {
+            // the connection is not used again in either case
         }
     }
 
-    // ---- the model
+    // The model.
 
-    private void model() {
+    private void runModel() {
         Scene scene =
                 new Scene(
                         100,
@@ -272,7 +293,7 @@
                         Arrays.asList(Habit.HEEDS, Habit.AT_ONCE, Habit.FIXED, Habit.EXPONENTIAL),
                         List.of(new Outage(0, 200, Duration.ofSeconds(10), Duration.ofSeconds(20))),
                         Duration.ofSeconds(50),
-                        Optional.of(Terms.USUAL),
+                        Optional.of(StormSettings.DEFAULTS),
                         7);
         StormLab.Result on = new StormLab(scene).play();
         StormLab.Result off =
@@ -290,20 +311,22 @@
                                         scene.seed()))
                         .play();
         figures.atLeast("model_recovered", on.recoveryS() >= 0 ? 1 : 0, 1);
-        figures.atMost("model_recovery_s", on.recoveryS(), MOST_RECOVERY_S);
-        figures.say("model_recovery_s_off", off.recoveryS()); // -1: not in the 30 s that are played
+        figures.atMost("model_recovery_s", on.recoveryS(), MAX_RECOVERY_S);
+        figures.say(
+                "model_recovery_s_off",
+                off.recoveryS()); // -1: not within the 30 s after the outage
         figures.say("model_worst", on.worst());
         figures.say("model_worst_off", off.worst());
         figures.say("model_tries", on.tries());
         figures.say("model_tries_off", off.tries());
     }
 
-    /** Microseconds of a decision and a refusal, at so many nodes. */
-    private static double cost(int nodes) {
+    /** Microseconds for a decision and a refusal, with that number of nodes. */
+    private static double decisionMicros(int nodes) {
         int rounds = 60_000;
         double best = Double.MAX_VALUE;
-        for (int again = 0; again < 3; again++) {
-            best = Math.min(best, StormLab.cost(nodes, rounds, Terms.USUAL, again));
+        for (int repetition = 0; repetition < 3; repetition++) {
+            best = Math.min(best, StormLab.cost(nodes, rounds, StormSettings.DEFAULTS, repetition));
         }
         return best;
     }
