--- a/src/main/java/cypressglade/storm/RetryAdmission.java
+++ b/src/main/java/cypressglade/storm/RetryAdmission.java
@@ -88,7 +88,7 @@
         DAMPINGS,
         /** A refused client was given a slot. */
         SLOTS_GIVEN,
-        /** A retry came within its slot. */
+        /** A retry came at the time it was told or later, while its booking was still held. */
         SLOTS_KEPT,
         /** A retry came before its slot. */
         CAME_EARLY,
--- a/src/main/java/cypressglade/storm/RetrySlots.java
+++ b/src/main/java/cypressglade/storm/RetrySlots.java
@@ -27,7 +27,7 @@
     /** Bookings of one node at a time; beyond that nothing is promised. */
     static final int MAX_BOOKINGS = 4096;
 
-    private static final double MIN_UNITS = 1e-6; // less counts as nothing
+    private static final double MIN_UNITS = 1e-6; // up to this, an amount counts as nothing
     private static final double RESERVED_WEIGHT = 1; // for the next volume that comes
 
     private final long slotNanos;
@@ -46,7 +46,7 @@
         UNBOOKED,
         /** It comes before the time that it was told. */
         EARLY,
-        /** It comes within its slot. */
+        /** It comes at that time or later, while its booking is still held. */
         ON_TIME
     }
 
