--- a/src/main/java/cypressglade/core/DemandTracker.java
+++ b/src/main/java/cypressglade/core/DemandTracker.java
@@ -76,7 +76,7 @@
     }
 
     static boolean isCold(NodeView view) {
-        return view.ready() && view.coldRoom() < Double.MAX_VALUE;
+        return view.ready() && view.coldCapacityUnits() < Double.MAX_VALUE;
     }
 
     static ColdNode coldNode(NodeStatus status) {
--- a/src/main/java/cypressglade/core/Engine.java
+++ b/src/main/java/cypressglade/core/Engine.java
@@ -4,11 +4,10 @@
 import cypressglade.core.NodeLink.ResponseMetadata;
 import cypressglade.core.Scheduler.Actions;
 import cypressglade.core.Scheduler.Hint;
-import cypressglade.core.Scheduler.Load;
 import cypressglade.core.Scheduler.Outcome;
 import cypressglade.core.Scheduler.Settings;
 import cypressglade.core.Scheduler.Status;
-import cypressglade.storm.Terms;
+import cypressglade.storm.StormSettings;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.Comparator;
@@ -40,7 +39,7 @@
     private final Counters counters;
     private final Scheduler scheduler;
     private final Duration coldWindow;
-    private final Optional<Terms> stormSettings;
+    private final Optional<StormSettings> stormSettings;
     private final Optional<RetryStormFilter> stormFilter;
     private Instant nextStormCheck = Instant.MAX;
     private boolean isAttemptBudgetActive;
@@ -70,7 +69,9 @@
          * instances does, because a limit must hold even where peers are missed.
          */
         Settings apply(Settings configured) {
-            return instances <= configured.heads() ? configured : configured.among(rank, instances);
+            return instances <= configured.instances()
+                    ? configured
+                    : configured.forInstance(rank, instances);
         }
     }
 
@@ -107,7 +108,7 @@
             long latency = Micros.of(Duration.between(sent, MonotonicClock.now()));
             post(
                     () ->
-                            scheduler.probed(
+                            scheduler.handleProbe(
                                     now(),
                                     node,
                                     result.status(),
@@ -130,11 +131,11 @@
             Settings settings,
             NodeDirectory directory,
             Counters counters,
-            Optional<Terms> stormSettings) {
+            Optional<StormSettings> stormSettings) {
         this.directory = directory;
         this.counters = counters;
         this.settings = settings;
-        this.coldWindow = Micros.toDuration(settings.limits().fallUs());
+        this.coldWindow = Micros.toDuration(settings.limits().overloadWindowUs());
         this.stormSettings = stormSettings;
         this.stormFilter =
                 stormSettings.map(
@@ -145,7 +146,7 @@
                                         coldWindow,
                                         counters,
                                         MonotonicClock.now()));
-        this.scheduler = new Brain(now(), settings, new Orders());
+        this.scheduler = new SchedulingPolicy(now(), settings, new Orders());
         thread.setDaemon(true);
     }
 
@@ -192,7 +193,7 @@
                 () -> {
                     settings = next;
                     stormFilter.ifPresent(filter -> filter.applySettings(next));
-                    scheduler.use(effectiveSettings());
+                    scheduler.applySettings(effectiveSettings());
                 });
     }
 
@@ -201,7 +202,7 @@
         post(
                 () -> {
                     position = new InstancePosition(rank, instances);
-                    scheduler.use(effectiveSettings());
+                    scheduler.applySettings(effectiveSettings());
                 });
     }
 
@@ -215,7 +216,7 @@
                 () -> {
                     if (processes != Math.max(1, count)) {
                         processes = Math.max(1, count);
-                        scheduler.use(effectiveSettings());
+                        scheduler.applySettings(effectiveSettings());
                         reapplyAllocation();
                     }
                 });
@@ -223,7 +224,10 @@
 
     /** Hands the demand since the previous call to {@code reader} on the engine thread. */
     public void takeDemand(Consumer<DemandTracker.Demand> reader) {
-        post(() -> reader.accept(demand.takeDemand(directory.statuses(scheduler.views(now())))));
+        post(
+                () ->
+                        reader.accept(
+                                demand.takeDemand(directory.statuses(scheduler.nodeViews(now())))));
     }
 
     /** Takes the shares of the limits that hold from now on, in place of even shares. */
@@ -241,21 +245,21 @@
 
     private void passAllocation(LimitAllocation current) {
         Map<Long, Double> shareByNode = new HashMap<>();
-        directory.statuses(scheduler.views(now())).stream()
+        directory.statuses(scheduler.nodeViews(now())).stream()
                 .filter(status -> DemandTracker.isCold(status.view()))
                 .forEach(
                         status ->
                                 shareByNode.put(
                                         status.view().node(), coldNodeShare(current, status)));
-        scheduler.parts(
+        scheduler.applyLimitShares(
                 now(),
-                new Scheduler.Parts(
+                new Scheduler.LimitShares(
                                 current.shareByVolume(),
                                 shareByNode,
                                 current.otherVolumesShare(),
                                 current.minShare(),
                                 Micros.of(current.validUntil()))
-                        .among(processes));
+                        .dividedAmong(processes));
     }
 
     private static double coldNodeShare(LimitAllocation current, NodeStatus status) {
@@ -277,7 +281,9 @@
                         ? RetryStormFilter.withAttemptBudget(
                                 position.apply(settings), stormSettings.orElseThrow())
                         : position.apply(settings);
-        return processes == 1 ? shared : shared.among(shared.rank(), shared.heads() * processes);
+        return processes == 1
+                ? shared
+                : shared.forInstance(shared.rank(), shared.instances() * processes);
     }
 
     /**
@@ -285,19 +291,19 @@
      * Costs the engine one pass over the nodes.
      */
     public void readNodes(Consumer<List<NodeStatus>> reader) {
-        post(() -> reader.accept(directory.statuses(scheduler.views(now()))));
+        post(() -> reader.accept(directory.statuses(scheduler.nodeViews(now()))));
     }
 
     /**
      * Hands the state of all listed nodes and of the queues, both at the same moment, to {@code
      * reader} on the engine thread.
      */
-    public void readStatus(BiConsumer<List<NodeStatus>, Load> reader) {
+    public void readStatus(BiConsumer<List<NodeStatus>, Scheduler.QueueView> reader) {
         post(
                 () ->
                         reader.accept(
-                                directory.allStatuses(scheduler.views(now())),
-                                scheduler.load(now())));
+                                directory.allStatuses(scheduler.nodeViews(now())),
+                                scheduler.queueView(now())));
     }
 
     /**
@@ -311,7 +317,7 @@
                 () ->
                         directory
                                 .numberOf(id)
-                                .ifPresent(node -> scheduler.hint(now(), hint.apply(node))));
+                                .ifPresent(node -> scheduler.handleHint(now(), hint.apply(node))));
     }
 
     /** Applies a node list, or a change to it, that discovery reported; links see it at once. */
@@ -319,7 +325,7 @@
         var entries = directory.update(list);
         post(
                 () -> {
-                    scheduler.nodes(now(), NodeDirectory.listKind(list), entries);
+                    scheduler.updateNodes(now(), NodeDirectory.listKind(list), entries);
                     // A node that has restarted is another cold node.
                     reapplyAllocation();
                     // Counted last: whoever waits for the count finds the policy up to date.
@@ -339,7 +345,7 @@
                     open.put(task.id, task);
                     Scheduler.Request submitted = request.toSchedulerRequest(task.id, processes);
                     demand.add(submitted, hasRateLimit(submitted));
-                    scheduler.request(now(), submitted);
+                    scheduler.handleRequest(now(), submitted);
                 });
     }
 
@@ -348,7 +354,7 @@
         boolean next = stormFilter.filter(RetryStormFilter::isAttemptBudgetActive).isPresent();
         if (next != isAttemptBudgetActive) {
             isAttemptBudgetActive = next;
-            scheduler.use(effectiveSettings());
+            scheduler.applySettings(effectiveSettings());
         }
     }
 
@@ -385,7 +391,7 @@
                             stormFilter.ifPresent(filter -> filter.recordNeverRan(task));
                         }
                     }
-                    scheduler.outcome(
+                    scheduler.handleOutcome(
                             now(),
                             new Outcome(
                                     task.id,
@@ -429,9 +435,9 @@
                             filter ->
                                     filter.recordIfUncertain(
                                             task, isInFlight, MonotonicClock.now()));
-                    scheduler.withdrawn(now(), task.id);
+                    scheduler.handleWithdrawal(now(), task.id);
                     if (!isInFlight && task.orderedAttempts > task.endedAttempts) {
-                        scheduler.outcome(
+                        scheduler.handleOutcome(
                                 now(),
                                 new Outcome(
                                         task.id,
@@ -472,11 +478,11 @@
                     event.get().run();
                 }
                 while (!timers.isEmpty() && MonotonicClock.until(timers.peek().due()).isZero()) {
-                    scheduler.timer(now(), timers.poll().token());
+                    scheduler.handleTimer(now(), timers.poll().token());
                 }
                 if (stormFilter.isPresent() && MonotonicClock.until(nextStormCheck).isZero()) {
                     nextStormCheck = MonotonicClock.now().plus(STORM_CHECK_INTERVAL);
-                    stormFilter.get().updateNodes(scheduler.views(now()), MonotonicClock.now());
+                    stormFilter.get().updateNodes(scheduler.nodeViews(now()), MonotonicClock.now());
                     updateAttemptBudget();
                 }
             } catch (InterruptedException interrupted) {
@@ -538,7 +544,7 @@
         }
 
         @Override
-        public void timer(long delayUs, long token) {
+        public void startTimer(long delayUs, long token) {
             timers.add(
                     new Timer(
                             MonotonicClock.now().plus(Micros.toDuration(delayUs)),
@@ -547,12 +553,12 @@
         }
 
         @Override
-        public void tell(long toRank, byte[] text) {
+        public void sendToPeer(long toRank, byte[] text) {
             throw new UnsupportedOperationException("no channel to other schedulers");
         }
 
         @Override
-        public void watch(boolean on) {
+        public void watchNodeList(boolean on) {
             // Discovery is always watched.
         }
 
--- a/src/main/java/cypressglade/core/RequestTask.java
+++ b/src/main/java/cypressglade/core/RequestTask.java
@@ -5,7 +5,7 @@
 import cypressglade.core.NodeLink.AttemptResult;
 import cypressglade.core.RequestLog.Event;
 import cypressglade.core.Scheduler.Status;
-import cypressglade.storm.Try;
+import cypressglade.storm.ClientRequest;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.concurrent.atomic.AtomicReference;
@@ -51,7 +51,7 @@
     int endedAttempts;
 
     // Used by the engine thread alone, for its retry storm filter where it has one.
-    Try stormRequest;
+    ClientRequest stormRequest;
     Instant firstSent;
     boolean mayHaveRun;
 
--- a/src/main/java/cypressglade/core/RetryStormFilter.java
+++ b/src/main/java/cypressglade/core/RetryStormFilter.java
@@ -5,12 +5,12 @@
 import cypressglade.core.Scheduler.Plan;
 import cypressglade.core.Scheduler.RequestClass;
 import cypressglade.core.Scheduler.Settings;
-import cypressglade.storm.StormLines;
-import cypressglade.storm.Storms;
-import cypressglade.storm.Storms.Speed;
-import cypressglade.storm.Terms;
-import cypressglade.storm.Try;
-import cypressglade.storm.Weather;
+import cypressglade.storm.ClientRequest;
+import cypressglade.storm.RetryAdmission;
+import cypressglade.storm.RetryAdmission.Speed;
+import cypressglade.storm.StormDetector;
+import cypressglade.storm.StormLogLines;
+import cypressglade.storm.StormSettings;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.HashMap;
@@ -20,12 +20,12 @@
 import java.util.SplittableRandom;
 
 /**
- * Connects the engine to {@link Storms}, which keeps storms of client retries from the scheduling
- * policy: asks it about each request before the policy gets it, when the policy refuses one, and
- * when a write ends that may have run without its client knowing. Only converts between the types
- * of the two packages; all decisions are made there. Owned by the engine thread.
+ * Connects the engine to {@link RetryAdmission}, which keeps storms of client retries from the
+ * scheduling policy: asks it about each request before the policy gets it, when the policy refuses
+ * one, and when a write ends that may have run without its client knowing. Only converts between
+ * the types of the two packages; all decisions are made there. Owned by the engine thread.
  */
-final class RetryStormFilter implements Storms.Out {
+final class RetryStormFilter implements RetryAdmission.Listener {
     private static final System.Logger LOG = System.getLogger(RetryStormFilter.class.getName());
     private static final double MICROS_PER_SECOND = 1e6;
 
@@ -38,7 +38,7 @@
     private static final Duration ATTEMPT_BUDGET_WINDOW = Duration.ofSeconds(1);
 
     private final Counters counters;
-    private final Storms storms;
+    private final RetryAdmission storms;
     private final Duration coldWindow;
     private Settings settings;
 
@@ -49,31 +49,35 @@
      * @param now by {@link MonotonicClock}
      */
     RetryStormFilter(
-            Terms terms, Settings settings, Duration coldWindow, Counters counters, Instant now) {
+            StormSettings terms,
+            Settings settings,
+            Duration coldWindow,
+            Counters counters,
+            Instant now) {
         this.counters = counters;
         this.coldWindow = coldWindow;
-        storms = new Storms(terms, new SplittableRandom(settings.seed()), this, now);
+        storms = new RetryAdmission(terms, new SplittableRandom(settings.seed()), this, now);
         applySettings(settings);
     }
 
     /** Takes new settings; earlier decisions, such as retry slots given to clients, stay valid. */
     void applySettings(Settings next) {
         settings = next;
-        storms.longest(
-                next.limits().retryAfter()
+        storms.setMaxRetryDelay(
+                next.limits().mayAdviseRetry()
                         ? Micros.toDuration(next.limits().maxRetryAfterUs())
                         : Duration.ZERO);
     }
 
     /** Whether this instance's further attempts must keep to {@link #withAttemptBudget} now. */
     boolean isAttemptBudgetActive() {
-        return storms.saving();
+        return storms.shouldLimitAttempts();
     }
 
     /** The settings with a budget of further attempts, unless they have one already. */
-    static Settings withAttemptBudget(Settings base, Terms terms) {
-        return base.within(
-                FREE_ATTEMPTS_PER_WINDOW, terms.secondTries(), Micros.of(ATTEMPT_BUDGET_WINDOW));
+    static Settings withAttemptBudget(Settings base, StormSettings terms) {
+        return base.withAttemptBudget(
+                FREE_ATTEMPTS_PER_WINDOW, terms.retryRatio(), Micros.of(ATTEMPT_BUDGET_WINDOW));
     }
 
     /**
@@ -82,9 +86,9 @@
      */
     boolean tryReject(RequestTask<?> task, IoRequest request, Instant now) {
         task.stormRequest = toStormRequest(request);
-        Storms.Decision decision = storms.arrived(task.stormRequest, now);
-        switch (decision.answer()) {
-            case TURNED_AWAY -> task.signal(new RequestTask.Refuse(decision.comeBack()));
+        RetryAdmission.Decision decision = storms.admit(task.stormRequest, now);
+        switch (decision.outcome()) {
+            case TURNED_AWAY -> task.signal(new RequestTask.Refuse(decision.retryAfter()));
             case IN_DOUBT -> task.signal(new RequestTask.Fail());
             default -> {
                 return false;
@@ -94,12 +98,12 @@
     }
 
     void served(RequestTask<?> task, Instant now) {
-        storms.served(task.stormRequest, now);
+        storms.recordServed(task.stormRequest, now);
     }
 
     /** Reports that the policy refuses a request; returns when its client is to send it again. */
     Duration refused(RequestTask<?> task, Duration advice, Instant now) {
-        return storms.refused(task.stormRequest, advice, now);
+        return storms.scheduleRetry(task.stormRequest, advice, now);
     }
 
     /**
@@ -110,20 +114,20 @@
      */
     void recordIfUncertain(RequestTask<?> task, boolean isInFlight, Instant now) {
         if (task.stormRequest != null && (isInFlight || task.mayHaveRun)) {
-            storms.doubts().add(task.stormRequest, task.firstSent, now);
+            storms.uncertainWrites().add(task.stormRequest, task.firstSent, now);
         }
     }
 
     /** The attempt that was in flight when the client disconnected has ended without running. */
     void recordNeverRan(RequestTask<?> task) {
         if (task.stormRequest != null && !task.mayHaveRun) {
-            storms.doubts().neverRan(task.stormRequest);
+            storms.uncertainWrites().remove(task.stormRequest);
         }
     }
 
     /** The uncertain writes, serialized for the next generation of this instance. */
     byte[] uncertainWrites(Instant now) {
-        return storms.doubts().bytes(now);
+        return storms.uncertainWrites().serialize(now);
     }
 
     /**
@@ -131,20 +135,22 @@
      * write that could be uncertain is taken to be so.
      */
     void restoreUncertainWrites(Optional<byte[]> previous, Instant now) {
-        previous.ifPresentOrElse(storms.doubts()::restore, () -> storms.doubts().blind(now));
+        previous.ifPresentOrElse(
+                storms.uncertainWrites()::restore,
+                () -> storms.uncertainWrites().assumeAllUncertain(now));
     }
 
     /**
      * The storm detector's form of a request. Where the settings lack its class or plan, the weight
      * of its plan and the effect of its class get defaults.
      */
-    Try toStormRequest(IoRequest request) {
+    ClientRequest toStormRequest(IoRequest request) {
         boolean known =
                 request.requestClass() < settings.classes().size()
                         && request.plan() < settings.plans().size();
         Plan plan = known ? settings.plans().get(request.plan()) : null;
         RequestClass type = known ? settings.classes().get(request.requestClass()) : null;
-        return new Try(
+        return new ClientRequest(
                 request.shard(),
                 request.volume(),
                 plan == null ? 1 : Math.max(plan.weight(), 0.01),
@@ -158,13 +164,13 @@
                 request.expiry());
     }
 
-    private static Try.Effect effect(RequestClass type, IoRequest request) {
+    private static ClientRequest.Effect effect(RequestClass type, IoRequest request) {
         if (type == null || type.effect() == Scheduler.Effect.SAFE) {
-            return Try.Effect.NONE;
+            return ClientRequest.Effect.NONE;
         }
         return type.effect() == Scheduler.Effect.KEYED && request.idempotencyToken() != 0
-                ? Try.Effect.DROPPED
-                : Try.Effect.TWICE;
+                ? ClientRequest.Effect.DROPPED
+                : ClientRequest.Effect.TWICE;
     }
 
     /**
@@ -176,27 +182,30 @@
         for (NodeView view : views) {
             if (view.ready() && !view.silent()) {
                 double maxUnitsPerSecond =
-                        view.coldRoom() == Double.MAX_VALUE
+                        view.coldCapacityUnits() == Double.MAX_VALUE
                                 ? Double.POSITIVE_INFINITY
-                                : view.coldRoom() / Math.max(coldWindow.toNanos() / 1e9, 1e-3);
+                                : view.coldCapacityUnits()
+                                        / Math.max(coldWindow.toNanos() / 1e9, 1e-3);
                 speeds.put(
                         view.shard(),
                         new Speed(
-                                MICROS_PER_SECOND / view.paceUs() / settings.heads(),
+                                MICROS_PER_SECOND
+                                        / view.serviceTimePerUnitUs()
+                                        / settings.instances(),
                                 maxUnitsPerSecond));
             }
         }
-        storms.speeds(speeds);
+        storms.setNodeSpeeds(speeds);
         storms.tick(now);
     }
 
     @Override
-    public void turned(String place, Weather.State state, Instant now) {
-        LOG.log(System.Logger.Level.INFO, "{0}", StormLines.turned(place, state, now));
+    public void stateChanged(String place, StormDetector.State state, Instant now) {
+        LOG.log(System.Logger.Level.INFO, "{0}", StormLogLines.stateChanged(place, state, now));
     }
 
     @Override
-    public void counted(Storms.Count what) {
+    public void counted(RetryAdmission.Count what) {
         counters.add(Name.valueOf("STORM_" + what.name()));
     }
 }
--- a/src/main/java/cypressglade/learn/Learner.java
+++ b/src/main/java/cypressglade/learn/Learner.java
@@ -144,13 +144,13 @@
             NodeView view = fact.view();
             String id = fact.node().id();
             NodeObservation before = ownObservations.get(id);
-            if (!view.guarded() && view.silent()) {
+            if (!view.unconfirmed() && view.silent()) {
                 Duration silentFor =
                         before != null && before.isSilent()
                                 ? before.silentFor().plus(before.age(now))
                                 : MIN_SILENCE;
                 observations.put(id, NodeObservation.fromView(id, view, silentFor, now, self));
-            } else if (!view.guarded() && view.answeredAgoUs() >= 0) {
+            } else if (!view.unconfirmed() && view.answeredAgoUs() >= 0) {
                 Duration ago = Duration.ofNanos(view.answeredAgoUs() * 1000);
                 boolean isFresh = ago.compareTo(MAX_FRESH_AGE) <= 0;
                 observations.put(
@@ -186,14 +186,14 @@
     private void judgeHint(NodeStatus fact) {
         GivenHint given = givenHints.get(fact.node().id());
         NodeView view = fact.view();
-        if (given == null || given.isJudged() || view.guarded()) {
+        if (given == null || given.isJudged() || view.unconfirmed()) {
             return;
         }
         boolean bothAnswer = !view.silent() && !given.hint().silent();
         if (bothAnswer && view.answers() < MIN_ANSWERS_TO_JUDGE) {
             return; // A service time is judged by several answers.
         }
-        double ratio = view.paceUs() / given.hint().serviceTimePerUnitMicros();
+        double ratio = view.serviceTimePerUnitUs() / given.hint().serviceTimePerUnitMicros();
         boolean isConfirmed =
                 bothAnswer
                         ? ratio < MAX_CONFIRMED_RATIO && ratio > 1 / MAX_CONFIRMED_RATIO
@@ -251,7 +251,7 @@
         boolean isColder =
                 hint.startedMicros() > (before == null ? 0 : before.hint().startedMicros());
         boolean hasOwnKnowledge =
-                !view.guarded()
+                !view.unconfirmed()
                         && (view.silent()
                                 || view.seenAgoUs() >= 0
                                         && view.seenAgoUs() <= MAX_OWN_AGE.toNanos() / 1000);
--- a/src/main/java/cypressglade/learn/NodeObservation.java
+++ b/src/main/java/cypressglade/learn/NodeObservation.java
@@ -44,10 +44,10 @@
         return new NodeObservation(
                 nodeId,
                 view.startedUs(),
-                view.paceUs(),
+                view.serviceTimePerUnitUs(),
                 view.backlogUs(),
-                view.strain(),
-                view.errors(),
+                view.latencyRatio(),
+                view.errorRatio(),
                 view.answers(),
                 silentFor,
                 observedAt,
