--- a/src/main/java/cypressglade/cli/LabCommand.java
+++ b/src/main/java/cypressglade/cli/LabCommand.java
@@ -72,9 +72,9 @@
         Bounds bounds = new Bounds(Timing.every(period), members);
         out.println(
                 "bounds: crash to dead everywhere "
-                        + bounds.detect().toMillis()
+                        + bounds.detectionTime().toMillis()
                         + " ms, heal to one view "
-                        + bounds.heal().toMillis()
+                        + bounds.healTime().toMillis()
                         + " ms");
         Path folder = Files.createTempDirectory("cypressglade-lab");
         try (ProcessFleet fleet = new ProcessFleet(folder, members, period, seed)) {
--- a/src/main/java/cypressglade/cli/Serve.java
+++ b/src/main/java/cypressglade/cli/Serve.java
@@ -243,12 +243,13 @@
 
     /** What was decided at another member, or here in a former life. */
     private void ruled(Verdict verdict, HandDrains drains) {
-        if (drains.rule(verdict.subject(), verdict.word(), verdict.by(), verdict.at())) {
+        if (drains.rule(
+                verdict.subject(), verdict.action(), verdict.issuer(), verdict.issuedAt())) {
             return;
         }
         if (verdict.subject().equals(MEMBER + memberName())
-                && List.of(EVACUATE, ACTIVATE).contains(verdict.word())) {
-            evacuate(verdict.word().equals(EVACUATE));
+                && List.of(EVACUATE, ACTIVATE).contains(verdict.action())) {
+            evacuate(verdict.action().equals(EVACUATE));
         }
     }
 
--- a/src/main/java/cypressglade/config/PeersConfigParser.java
+++ b/src/main/java/cypressglade/config/PeersConfigParser.java
@@ -5,7 +5,7 @@
 import cypressglade.peer.PeersConfig;
 import cypressglade.peer.PeersConfig.Snapshots;
 import cypressglade.peer.PeersConfig.Talk;
-import cypressglade.share.Terms;
+import cypressglade.share.SharingSettings;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -120,7 +120,7 @@
         }
     }
 
-    private Optional<Terms> terms() throws ConfigException {
+    private Optional<SharingSettings> terms() throws ConfigException {
         if (values.text("roster", "").isEmpty()) {
             return Optional.empty();
         }
@@ -130,16 +130,17 @@
                 throw values.bad("roster", "has a name twice, or one that is no name");
             }
         }
-        if (!roster.contains(values.text("name")) || roster.size() > Terms.MOST_NAMES) {
+        if (!roster.contains(values.text("name")) || roster.size() > SharingSettings.MAX_NAMES) {
             throw values.bad(
-                    "roster", "has to name this instance (name), and at most " + Terms.MOST_NAMES);
+                    "roster",
+                    "has to name this instance (name), and at most " + SharingSettings.MAX_NAMES);
         }
         float floor = values.number("floor", FLOOR);
         if (!(floor > 0 && floor <= 1)) {
             throw values.bad("floor", "is not over 0 and at most 1");
         }
         return Optional.of(
-                new Terms(
+                new SharingSettings(
                         roster,
                         floor,
                         (int) values.whole("lag", 1, MOST_LAG, LAG),
--- a/src/main/java/cypressglade/fleet/Bounds.java
+++ b/src/main/java/cypressglade/fleet/Bounds.java
@@ -28,7 +28,7 @@
      * pings it and one until that probe has failed, the suspicion that nobody shares, and the news'
      * way there twice.
      */
-    public Duration detect() {
+    public Duration detectionTime() {
         return timing.period().multipliedBy(2L + 2L * rounds()).plus(timing.suspicion(members, 0));
     }
 
@@ -38,12 +38,12 @@
      * where many probe, within the draws that it takes to meet them all; then as for one that
      * crashed.
      */
-    public Duration split(int side) {
+    public Duration splitDetectionTime(int side) {
         double probes =
                 Math.min(members - 1.0, (2 + Math.log(members)) * members / Math.max(1, side));
         return timing.period()
                 .multipliedBy((long) Math.ceil((LocalHealth.MOST + 1) * probes))
-                .plus(detect());
+                .plus(detectionTime());
     }
 
     /**
@@ -53,7 +53,7 @@
      * already. Each member has to hear the new incarnation of every other: so many pieces of news,
      * of which two messages a period bring 8 each.
      */
-    public Duration heal() {
+    public Duration healTime() {
         long news = (members + NEWS_A_PERIOD - 1) / NEWS_A_PERIOD;
         return timing.reconnect()
                 .plus(timing.answer().multipliedBy(2))
@@ -68,7 +68,7 @@
      * @param loss of each way
      * @param absent share of probes that go to a member that does not answer at all
      */
-    public double messages(double loss, double absent) {
+    public double messagesPerPeriod(double loss, double absent) {
         double way = 1 - loss;
         double second = 1 - way * way;
         double third = second * second;
--- a/src/main/java/cypressglade/fleet/View.java
+++ b/src/main/java/cypressglade/fleet/View.java
@@ -19,8 +19,8 @@
 
 /**
  * What one member sees of the fleet, kept from the changes that its membership tells, and written
- * as one line of JSON: for the log at each change ({@link #change}), and whole for whoever asks
- * ({@link #whole}).
+ * as one line of JSON: for the log at each change ({@link #recordChange}), and whole for whoever
+ * asks ({@link #toJson}).
  *
  * <p>A member that goes from present (alive or suspect) to absent (dead or left) and back again
  * counts as a flap. Keeps a row for each member that the membership knows, and forgets it with
@@ -52,7 +52,7 @@
     }
 
     /** Takes a change of what is known of a member; the change as one line of JSON. */
-    public String change(Member member, Instant now) {
+    public String recordChange(Member member, Instant now) {
         Seen before = seen.get(member.name());
         boolean flap = before != null && !before.member.present() && member.present();
         flaps += flap ? 1 : 0;
@@ -71,7 +71,7 @@
      * JSON, or nothing where these two were told of before: who is refused comes again with each
      * message.
      */
-    public String refusal(Member known, Member claim, Instant now) {
+    public String recordRefusal(Member known, Member claim, Instant now) {
         if (refused.size() >= MOST_REFUSALS) {
             refused.clear();
         }
@@ -90,7 +90,7 @@
      * its state and for how long it has held it, counts by state, changes and flaps since the
      * start, and for how long no change has come ({@code settled_ms}).
      */
-    public ObjectNode whole(Swim swim, Instant now) {
+    public ObjectNode toJson(Swim swim, Instant now) {
         ObjectNode line =
                 line("view", now)
                         .put("incarnation", swim.self().incarnation())
--- a/src/main/java/cypressglade/lab/ProcessFleet.java
+++ b/src/main/java/cypressglade/lab/ProcessFleet.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import cypressglade.member.Member.State;
-import cypressglade.share.Terms;
+import cypressglade.share.SharingSettings;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -53,7 +53,7 @@
     private final Path folder;
     private final Duration period;
     private final UnaryOperator<String> configuration;
-    private final Optional<Terms> terms;
+    private final Optional<SharingSettings> terms;
     private final FaultHub hub;
     private final List<Slot> slots = new ArrayList<>();
     private final List<Event> events = new ArrayList<>();
@@ -109,7 +109,7 @@
             Duration period,
             long seed,
             UnaryOperator<String> configuration,
-            Optional<Terms> terms)
+            Optional<SharingSettings> terms)
             throws IOException {
         this.folder = folder;
         this.period = period;
@@ -194,9 +194,9 @@
         if (terms.isPresent()) {
             ArrayNode roster = file.putArray("roster");
             terms.get().roster().forEach(roster::add);
-            file.put("floor", terms.get().floor())
-                    .put("lag", terms.get().lag())
-                    .put("window_ms", terms.get().window().toMillis())
+            file.put("floor", terms.get().floorFraction())
+                    .put("lag", terms.get().lagWindows())
+                    .put("window_ms", terms.get().windowLength().toMillis())
                     .put(
                             "snapshot_dir",
                             Files.createDirectories(own.resolve("kept")).getFileName().toString());
--- a/src/main/java/cypressglade/lab/ShareLab.java
+++ b/src/main/java/cypressglade/lab/ShareLab.java
@@ -1,10 +1,10 @@
 package cypressglade.lab;
 
-import cypressglade.share.Grant;
-import cypressglade.share.Key;
+import cypressglade.share.Allocation;
 import cypressglade.share.Notice;
-import cypressglade.share.Sharing;
-import cypressglade.share.Terms;
+import cypressglade.share.ShareKey;
+import cypressglade.share.SharingProtocol;
+import cypressglade.share.SharingSettings;
 import cypressglade.share.Verdicts.Verdict;
 import java.time.Duration;
 import java.time.Instant;
@@ -21,10 +21,10 @@
 
 /**
  * A fleet that shares a limit, a cold node and verdicts, played in virtual time with the code that
- * the program runs ({@link Sharing}), under a schedule of faults. Each member keeps its store as
- * the module does and spends what it likes of it; after each step what all have spent is held
- * against one store of the whole limit, and what the cold node got against what it bears. After the
- * last fault, quiet windows follow in which all is to agree again.
+ * the program runs ({@link SharingProtocol}), under a schedule of faults. Each member keeps its
+ * store as the module does and spends what it likes of it; after each step what all have spent is
+ * held against one store of the whole limit, and what the cold node got against what it bears.
+ * After the last fault, quiet windows follow in which all is to agree again.
  */
 public final class ShareLab {
     /**
@@ -41,8 +41,8 @@
     private static final double STEP_S = (double) WINDOW.toMillis() / 1000 / STEPS;
     private static final double FLOOR = 0.25;
     private static final int LAG = 2;
-    private static final String VOLUME = Key.volume(7);
-    private static final String NODE = Key.node("s-0", 1);
+    private static final String VOLUME = ShareKey.ofVolume(7);
+    private static final String NODE = ShareKey.ofNode("s-0", 1);
 
     /** Windows without a word after which a member is taken for dead. */
     private static final int HEARD_WITHIN = 3;
@@ -57,7 +57,7 @@
 
     private final Random random;
     private final List<Member> members = new ArrayList<>();
-    private final Terms terms;
+    private final SharingSettings terms;
     private final List<Late> late = new ArrayList<>();
     private final List<double[]> former = new ArrayList<>();
     private final List<Integer> restarts = new ArrayList<>();
@@ -116,10 +116,10 @@
     private record Late(int due, int to, int from, Notice notice) {}
 
     /** One member: what it shares, and its stores as the module keeps them. */
-    private final class Member implements Sharing.Out<Integer> {
+    private final class Member implements SharingProtocol.Out<Integer> {
         private final int number;
-        private Sharing<Integer> sharing;
-        private Grant granted;
+        private SharingProtocol<Integer> sharing;
+        private Allocation granted;
         private final Map<Integer, Integer> heardAt = new HashMap<>();
         private final ArrayDeque<double[]> sends = new ArrayDeque<>();
         private boolean up = true;
@@ -128,19 +128,19 @@
         private Member(int number) {
             this.number = number;
             start(List.of());
-            store = terms.least() * BURST;
+            store = terms.minShare() * BURST;
         }
 
         private void start(List<Verdict> kept) {
-            sharing = new Sharing<>(name(number), terms, HELD, kept, random, this, now());
-            sharing.begin();
+            sharing = new SharingProtocol<>(name(number), terms, HELD, kept, random, this, now());
+            sharing.start();
             heardAt.clear();
             up = true;
         }
 
         private void restart() {
             start(sharing.verdicts());
-            store = terms.least() * SLACK;
+            store = terms.minShare() * SLACK;
             allowed += store;
             // What a cold node got of the former life is in its window still, which the new one
             // cannot know.
@@ -150,11 +150,14 @@
         }
 
         private double part(String key) {
-            return granted.window() == terms.window(now())
-                    ? granted.parts()
+            return granted.window() == terms.windowAt(now())
+                    ? granted.shares()
                             .getOrDefault(
-                                    key, key.equals(NODE) ? granted.coldRest() : granted.rest())
-                    : terms.least();
+                                    key,
+                                    key.equals(NODE)
+                                            ? granted.otherColdNodeShare()
+                                            : granted.otherVolumeShare())
+                    : terms.minShare();
         }
 
         /** Fills by the part until now, as the module does when it is told of another. */
@@ -168,24 +171,24 @@
         }
 
         @Override
-        public void exchange(Integer with) {
+        public void fetchVerdicts(Integer with) {
             Member other = members.get(with);
             if (other.up && !cut(number, with) && !cut(with, number)) {
-                sharing.take(other.sharing.verdicts());
+                sharing.acceptVerdicts(other.sharing.verdicts());
             }
         }
 
         @Override
-        public void ruled(Verdict verdict) {}
+        public void verdictAccepted(Verdict verdict) {}
 
         @Override
-        public void granted(Grant grant) {
+        public void allocationChanged(Allocation grant) {
             granted = grant;
         }
 
         @Override
-        public void ask(long window) {
-            sharing.wanted(
+        public void requestDemand(long window) {
+            sharing.reportDemand(
                     window, Map.of(VOLUME, 1.0 + random.nextInt(9), NODE, 1.0 * random.nextInt(5)));
         }
     }
@@ -193,7 +196,7 @@
     private ShareLab(int size, long seed) {
         random = new Random(seed);
         terms =
-                new Terms(
+                new SharingSettings(
                         IntStream.range(0, size)
                                 .mapToObj(ShareLab::name)
                                 .collect(Collectors.toSet()),
@@ -244,7 +247,7 @@
             if (window() < end - QUIET && one.up && random.nextInt(4) == 0) {
                 // clocks differ by some windows
                 given.add(
-                        one.sharing.give(
+                        one.sharing.issueVerdict(
                                 "node s-" + random.nextInt(3),
                                 random.nextBoolean() ? "exclude" : "include",
                                 now().plusSeconds(random.nextInt(5))));
@@ -266,7 +269,8 @@
 
     /** Whether a verdict that is held is on the subject of the one given, and as late or later. */
     private static boolean covers(Verdict held, Verdict given) {
-        return held.subject().equals(given.subject()) && !held.at().isBefore(given.at());
+        return held.subject().equals(given.subject())
+                && !held.issuedAt().isBefore(given.issuedAt());
     }
 
     private void restarts() {
@@ -319,7 +323,7 @@
         }
         level = Math.min(BURST, level + RATE * STEP_S) - spent;
         overshoot = Math.max(overshoot, -level - allowed);
-        overload = Math.max(overload, cold - BEARS * (1 + terms.least() * restarts.size()));
+        overload = Math.max(overload, cold - BEARS * (1 + terms.minShare() * restarts.size()));
     }
 
     private static double sum(Collection<double[]> sends) {
--- a/src/main/java/cypressglade/peer/Codec.java
+++ b/src/main/java/cypressglade/peer/Codec.java
@@ -11,8 +11,7 @@
 import cypressglade.member.Message;
 import cypressglade.member.News;
 import cypressglade.share.Notice;
-import cypressglade.share.Notice.Piece;
-import cypressglade.share.Sharing;
+import cypressglade.share.SharingProtocol;
 import cypressglade.share.Verdicts.Verdict;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -284,21 +283,21 @@
     private static void notice(JsonGenerator out, Notice notice) throws IOException {
         number(out, "d", notice.digest());
         out.writeArrayFieldStart("h");
-        for (Map.Entry<Long, Long> held : notice.held().entrySet()) {
+        for (Map.Entry<Long, Long> held : notice.heldReports().entrySet()) {
             out.writeNumber(held.getKey());
             out.writeNumber(held.getValue());
         }
         out.writeEndArray();
         out.writeArrayFieldStart("p");
-        for (Piece piece : notice.pieces()) {
+        for (Notice.Fragment piece : notice.fragments()) {
             out.writeStartObject();
             text(out, "n", piece.name());
             number(out, "w", piece.window());
-            number(out, "i", piece.number());
-            number(out, "o", piece.of());
-            number(out, "h", piece.heard());
+            number(out, "i", piece.index());
+            number(out, "o", piece.count());
+            number(out, "h", piece.aliveBits());
             out.writeObjectFieldStart("k");
-            for (Map.Entry<String, Double> wanted : piece.wanted().entrySet()) {
+            for (Map.Entry<String, Double> wanted : piece.demand().entrySet()) {
                 out.writeNumberField(
                         wanted.getKey(), wanted.getValue()); // whole: all have to reckon alike
             }
@@ -314,7 +313,7 @@
                 new Object() {
                     long digest;
                     List<Long> held = List.of();
-                    List<Piece> pieces = List.of();
+                    List<Notice.Fragment> pieces = List.of();
                     List<Verdict> verdicts = List.of();
                 };
         members(
@@ -338,7 +337,7 @@
         return new Notice(read.digest, held, read.pieces, read.verdicts);
     }
 
-    private static Piece piece(JsonParser in) throws IOException {
+    private static Notice.Fragment piece(JsonParser in) throws IOException {
         var read =
                 new Object() {
                     String name = "";
@@ -360,7 +359,8 @@
                                         (key, units) -> {
                                             double wanted = real(units);
                                             if (!(wanted >= 0 && wanted < MOST_UNITS)
-                                                    || read.wanted.size() >= Sharing.MOST_KEYS) {
+                                                    || read.wanted.size()
+                                                            >= SharingProtocol.MAX_KEYS) {
                                                 throw new IOException(
                                                         "a demand that is none, or too many");
                                             }
@@ -373,7 +373,7 @@
                     }
                     return true;
                 });
-        return new Piece(
+        return new Notice.Fragment(
                 read.name, read.window, (int) read.number, (int) read.of, read.heard, read.wanted);
     }
 
@@ -385,10 +385,10 @@
         for (Verdict verdict : verdicts) {
             out.writeStartObject();
             text(out, "s", verdict.subject());
-            text(out, "w", verdict.word());
-            number(out, "a", verdict.at().toEpochMilli());
-            text(out, "b", verdict.by());
-            number(out, "n", verdict.number());
+            text(out, "w", verdict.action());
+            number(out, "a", verdict.issuedAt().toEpochMilli());
+            text(out, "b", verdict.issuer());
+            number(out, "n", verdict.sequence());
             out.writeEndObject();
         }
         out.writeEndArray();
@@ -417,8 +417,8 @@
                 });
         if (read.subject.isEmpty()
                 || read.word.isEmpty()
-                || read.subject.length() > Sharing.MOST_TEXT
-                || read.word.length() > Sharing.MOST_TEXT) {
+                || read.subject.length() > SharingProtocol.MAX_TEXT_LENGTH
+                || read.word.length() > SharingProtocol.MAX_TEXT_LENGTH) {
             throw new IOException("a verdict on nothing, or of too many letters");
         }
         return new Verdict(
--- a/src/main/java/cypressglade/peer/Peers.java
+++ b/src/main/java/cypressglade/peer/Peers.java
@@ -18,11 +18,11 @@
 import cypressglade.member.Swim;
 import cypressglade.net.Datagrams;
 import cypressglade.net.Loop;
-import cypressglade.share.Grant;
-import cypressglade.share.Key;
+import cypressglade.share.Allocation;
 import cypressglade.share.Notice;
-import cypressglade.share.Sharing;
-import cypressglade.share.Terms;
+import cypressglade.share.ShareKey;
+import cypressglade.share.SharingProtocol;
+import cypressglade.share.SharingSettings;
 import cypressglade.share.Verdicts.Verdict;
 import cypressglade.snapshot.SnapshotStore;
 import java.io.IOException;
@@ -107,7 +107,7 @@
     private Census.Share share = new Census.Share(0, 1);
     private Swim swim;
     private Optional<View> view = Optional.empty();
-    private Optional<Sharing<InetSocketAddress>> sharing = Optional.empty();
+    private Optional<SharingProtocol<InetSocketAddress>> sharing = Optional.empty();
     private Datagrams datagrams;
     private TransferServer transfers;
     private TransferClient client;
@@ -163,7 +163,7 @@
                 () ->
                         sharing.ifPresent(
                                 kept -> {
-                                    say(kept.give(subject, word, Time.now()), "verdict");
+                                    say(kept.issueVerdict(subject, word, Time.now()), "verdict");
                                     keepVerdicts(kept);
                                 }));
     }
@@ -250,7 +250,7 @@
                         said.complete(
                                 view.map(
                                         kept -> {
-                                            ObjectNode whole = kept.whole(swim, Time.now());
+                                            ObjectNode whole = kept.toJson(swim, Time.now());
                                             sharing.ifPresent(
                                                     shared -> SharedLines.add(whole, shared));
                                             return whole.toString();
@@ -368,7 +368,7 @@
                 talk.terms()
                         .map(
                                 terms ->
-                                        new Sharing<>(
+                                        new SharingProtocol<>(
                                                 config.name(),
                                                 terms,
                                                 engine.coldSpan(),
@@ -392,13 +392,13 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private void begin(Sharing<InetSocketAddress> kept) {
-        kept.begin();
+    private void begin(SharingProtocol<InetSocketAddress> kept) {
+        kept.start();
         // past the edge of its window
-        repeat(() -> tick(kept), () -> kept.due(Time.now()).plusMillis(1));
+        repeat(() -> tick(kept), () -> kept.nextTick(Time.now()).plusMillis(1));
     }
 
-    private void tick(Sharing<InetSocketAddress> kept) {
+    private void tick(SharingProtocol<InetSocketAddress> kept) {
         Map<String, InetSocketAddress> present =
                 swim.present().stream()
                         .collect(
@@ -512,7 +512,7 @@
                     public void came(Transfer frame) {
                         swim.merge(frame.members(), Time.now());
                         learner.take(frame.words(), Time.now());
-                        sharing.ifPresent(kept -> kept.take(frame.verdicts()));
+                        sharing.ifPresent(kept -> kept.acceptVerdicts(frame.verdicts()));
                         publish();
                     }
 
@@ -569,7 +569,7 @@
                         Math.min(
                                 Math.min(Codec.MOST_WORDS, asked.index()),
                                 config.mostNodes() * WORDS_A_NODE));
-        List<Verdict> held = sharing.map(Sharing::verdicts).orElse(List.of());
+        List<Verdict> held = sharing.map(SharingProtocol::verdicts).orElse(List.of());
         int frames =
                 Math.max(
                         1,
@@ -616,9 +616,9 @@
         figures.put("members_turned_away", swim.turnedAway());
         sharing.ifPresent(
                 kept -> {
-                    figures.put("limits_agreed_among", (long) kept.granted().agreed());
+                    figures.put("limits_agreed_among", (long) kept.allocation().agreedMembers());
                     figures.put("verdicts_held", (long) kept.verdicts().size());
-                    figures.put("shared_turned_away", kept.turnedAway());
+                    figures.put("shared_turned_away", kept.rejected());
                 });
         return figures;
     }
@@ -702,10 +702,10 @@
     }
 
     /** What sharing orders. */
-    private final class Shared implements Sharing.Out<InetSocketAddress> {
-        private final Terms terms;
+    private final class Shared implements SharingProtocol.Out<InetSocketAddress> {
+        private final SharingSettings terms;
 
-        Shared(Terms terms) {
+        Shared(SharingSettings terms) {
             this.terms = terms;
         }
 
@@ -715,28 +715,28 @@
         }
 
         @Override
-        public void exchange(InetSocketAddress with) {
+        public void fetchVerdicts(InetSocketAddress with) {
             pull(with);
         }
 
         @Override
-        public void ruled(Verdict verdict) {
+        public void verdictAccepted(Verdict verdict) {
             say(verdict, "verdict_taken");
             ruling.accept(verdict);
             sharing.ifPresent(Peers.this::keepVerdicts);
         }
 
         @Override
-        public void granted(Grant grant) {
+        public void allocationChanged(Allocation grant) {
             Map<Long, Double> volumes = new HashMap<>();
             Map<Asked.ColdNode, Double> cold = new HashMap<>();
-            grant.parts()
+            grant.shares()
                     .forEach(
                             (key, part) -> {
-                                if (Key.isVolume(key)) {
-                                    volumes.put(Key.volume(key), part);
+                                if (ShareKey.isVolume(key)) {
+                                    volumes.put(ShareKey.volumeId(key), part);
                                 } else {
-                                    Key.run(key)
+                                    ShareKey.nodeGeneration(key)
                                             .map(
                                                     run ->
                                                             new Asked.ColdNode(
@@ -748,26 +748,29 @@
                     new Engine.Granted(
                             volumes,
                             cold,
-                            grant.rest(),
-                            grant.coldRest(),
-                            terms.least(),
-                            terms.begin(grant.window() + 1)));
+                            grant.otherVolumeShare(),
+                            grant.otherColdNodeShare(),
+                            terms.minShare(),
+                            terms.windowStart(grant.window() + 1)));
         }
 
         @Override
-        public void ask(long window) {
+        public void requestDemand(long window) {
             engine.demand(
                     demand -> {
                         Map<String, Double> wanted = new HashMap<>();
                         demand.volumes()
-                                .forEach((volume, units) -> wanted.put(Key.volume(volume), units));
+                                .forEach(
+                                        (volume, units) ->
+                                                wanted.put(ShareKey.ofVolume(volume), units));
                         demand.cold()
                                 .forEach(
                                         (node, units) ->
                                                 wanted.put(
-                                                        Key.node(node.id(), node.startedUs()),
+                                                        ShareKey.ofNode(
+                                                                node.id(), node.startedUs()),
                                                         units));
-                        execute(() -> sharing.ifPresent(kept -> kept.wanted(window, wanted)));
+                        execute(() -> sharing.ifPresent(kept -> kept.reportDemand(window, wanted)));
                     });
         }
     }
@@ -776,7 +779,7 @@
         LOG.log(Level.INFO, "{0}", SharedLines.verdict(config.name(), what, verdict, Time.now()));
     }
 
-    private void keepVerdicts(Sharing<InetSocketAddress> kept) {
+    private void keepVerdicts(SharingProtocol<InetSocketAddress> kept) {
         verdicts.ifPresent(
                 file -> {
                     byte[] body = Codec.verdicts(kept.verdicts());
@@ -824,7 +827,7 @@
             LOG.log(
                     Level.INFO,
                     "{0}",
-                    view.map(kept -> kept.change(member, Time.now()))
+                    view.map(kept -> kept.recordChange(member, Time.now()))
                             .orElseGet(
                                     () ->
                                             "member "
@@ -837,7 +840,7 @@
 
         @Override
         public void refused(Member known, Member claim) {
-            String line = view.map(kept -> kept.refusal(known, claim, Time.now())).orElse("");
+            String line = view.map(kept -> kept.recordRefusal(known, claim, Time.now())).orElse("");
             if (!line.isEmpty()) {
                 LOG.log(Level.WARNING, "{0}", line);
             }
--- a/src/main/java/cypressglade/peer/PeersConfig.java
+++ b/src/main/java/cypressglade/peer/PeersConfig.java
@@ -1,7 +1,7 @@
 package cypressglade.peer;
 
 import cypressglade.member.Timing;
-import cypressglade.share.Terms;
+import cypressglade.share.SharingSettings;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -44,7 +44,7 @@
             boolean shareCold,
             Timing timing,
             boolean view,
-            Optional<Terms> terms) {}
+            Optional<SharingSettings> terms) {}
 
     /** Snapshots: the directory, how often one is written, and how old one may be to be read. */
     public record Snapshots(Path directory, Duration every, Duration mostAge) {}
--- a/src/main/java/cypressglade/peer/SharedLines.java
+++ b/src/main/java/cypressglade/peer/SharedLines.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import cypressglade.share.Grant;
-import cypressglade.share.Sharing;
+import cypressglade.share.Allocation;
+import cypressglade.share.SharingProtocol;
 import cypressglade.share.Verdicts.Verdict;
 import java.time.Instant;
 import java.util.TreeMap;
@@ -16,16 +16,16 @@
     private SharedLines() {}
 
     /** Adds the parts that hold now, and the verdicts, to the whole view. */
-    static void add(ObjectNode whole, Sharing<?> shared) {
-        Grant grant = shared.granted();
+    static void add(ObjectNode whole, SharingProtocol<?> shared) {
+        Allocation grant = shared.allocation();
         ObjectNode limits =
                 whole.putObject("limits")
                         .put("window", grant.window())
-                        .put("agreed_among", grant.agreed())
-                        .put("rest", grant.rest())
-                        .put("turned_away", shared.turnedAway());
+                        .put("agreed_among", grant.agreedMembers())
+                        .put("rest", grant.otherVolumeShare())
+                        .put("turned_away", shared.rejected());
         ObjectNode parts = limits.putObject("parts");
-        new TreeMap<>(grant.parts()).forEach(parts::put);
+        new TreeMap<>(grant.shares()).forEach(parts::put);
         ArrayNode verdicts = whole.putArray("verdicts");
         shared.verdicts().forEach(verdict -> verdicts.add(entry(verdict)));
     }
@@ -44,8 +44,8 @@
     private static ObjectNode entry(Verdict verdict) {
         return JSON.createObjectNode()
                 .put("subject", verdict.subject())
-                .put("word", verdict.word())
-                .put("by", verdict.by())
-                .put("at_ms", verdict.at().toEpochMilli());
+                .put("word", verdict.action())
+                .put("by", verdict.issuer())
+                .put("at_ms", verdict.issuedAt().toEpochMilli());
     }
 }
--- a/src/main/java/cypressglade/share/Report.java
+++ b/src/main/java/cypressglade/share/Report.java
@@ -9,13 +9,14 @@
  *
  * @param name of the member, one of the roster
  * @param window its number, by the time of day
- * @param heard whom the member held alive when the window ended, itself among them
- * @param wanted units asked of it in the window, by key (a volume, or a cold node's start); what is
+ * @param aliveMembers whom the member held alive when the window ended, itself among them
+ * @param demand units asked of it in the window, by key (a volume, or a cold node's start); what is
  *     0 is left out
  */
-public record Report(String name, long window, Set<String> heard, Map<String, Double> wanted) {
+public record Report(
+        String name, long window, Set<String> aliveMembers, Map<String, Double> demand) {
     public Report {
-        heard = Set.copyOf(heard);
-        wanted = Map.copyOf(wanted);
+        aliveMembers = Set.copyOf(aliveMembers);
+        demand = Map.copyOf(demand);
     }
 }
--- a/src/main/java/cypressglade/share/Shares.java
+++ b/src/main/java/cypressglade/share/ShareCalculator.java
@@ -28,7 +28,7 @@
  * <p>A restart must not report a window that its former life may have reported: the first is the
  * one that begins after its start. Not safe for use by several threads.
  */
-public final class Shares {
+public final class ShareCalculator {
     private final String self;
     private final Set<String> roster;
     private final double floor;
@@ -45,7 +45,7 @@
      * @param lag windows after its end that a report has to reach all, at least 1
      * @param startedIn the window in which this process started
      */
-    public Shares(String self, Set<String> roster, double floor, int lag, long startedIn) {
+    public ShareCalculator(String self, Set<String> roster, double floor, int lag, long startedIn) {
         if (!roster.contains(self) || floor < 0 || floor > 1 || lag < 1) {
             throw new IllegalArgumentException(
                     self + " of " + roster + ", floor " + floor + ", lag " + lag);
@@ -60,18 +60,19 @@
     /**
      * This member's report of a window that is over; none where its former life may have made one.
      */
-    public Optional<Report> report(long window, Set<String> heard, Map<String, Double> wanted) {
+    public Optional<Report> recordOwnReport(
+            long window, Set<String> heard, Map<String, Double> wanted) {
         if (window < firstWindow) {
             return Optional.empty();
         }
         Report own = new Report(self, window, heard, wanted);
-        take(own);
+        addReport(own);
         return Optional.ofNullable(of(window).get(self));
     }
 
     /** Takes a report; the first of a member and window holds. Word of strangers is turned away. */
-    public void take(Report report) {
-        if (!roster.contains(report.name()) || !roster.containsAll(report.heard())) {
+    public void addReport(Report report) {
+        if (!roster.contains(report.name()) || !roster.containsAll(report.aliveMembers())) {
             turnedAway++;
             return;
         }
@@ -80,12 +81,12 @@
     }
 
     /** Reports that are not of the roster. */
-    public long turnedAway() {
+    public long rejected() {
         return turnedAway;
     }
 
     /** Reports since a window, for whoever may lack them. */
-    public List<Report> since(long window) {
+    public List<Report> reportsSince(long window) {
         return reports.tailMap(window, true).values().stream()
                 .flatMap(of -> of.values().stream())
                 .toList();
@@ -100,7 +101,7 @@
      * Of the roster in order, whose reports of a window are held: bit {@code i} for the {@code
      * i}th.
      */
-    long held(long window, List<String> names) {
+    long heldReportBits(long window, List<String> names) {
         Map<String, Report> of = of(window);
         long bits = 0;
         for (int i = 0; i < names.size(); i++) {
@@ -110,24 +111,24 @@
     }
 
     /** This member's part of the whole for a key in a window, {@code floor/n} to 1. */
-    public double part(String key, long window) {
-        return part(key, agreed(window));
+    public double share(String key, long window) {
+        return share(key, agreed(window));
     }
 
     /** This member's parts in a window, of all keys that were reported. */
-    public Grant grant(long window) {
+    public Allocation allocation(long window) {
         List<Report> agreed = agreed(window);
         Map<String, Double> parts = new HashMap<>();
         for (Report report : agreed) {
-            for (String key : report.wanted().keySet()) {
-                parts.computeIfAbsent(key, each -> part(each, agreed));
+            for (String key : report.demand().keySet()) {
+                parts.computeIfAbsent(key, each -> share(each, agreed));
             }
         }
-        double rest = part("", agreed);
-        return new Grant(window, parts, rest, rest, agreed.size());
+        double rest = share("", agreed);
+        return new Allocation(window, parts, rest, rest, agreed.size());
     }
 
-    private double part(String key, List<Report> agreed) {
+    private double share(String key, List<Report> agreed) {
         double least = floor / roster.size();
         if (agreed.isEmpty()) {
             return least;
@@ -135,7 +136,7 @@
         double all = 0;
         double own = 0;
         for (Report report : agreed) {
-            double wanted = report.wanted().getOrDefault(key, 0.0);
+            double wanted = report.demand().getOrDefault(key, 0.0);
             all += wanted;
             own = report.name().equals(self) ? wanted : own;
         }
@@ -149,13 +150,15 @@
     private List<Report> agreed(long window) {
         Map<String, Report> of = of(window - lag);
         Report own = of.get(self);
-        if (own == null || 2 * own.heard().size() <= roster.size() || !own.heard().contains(self)) {
+        if (own == null
+                || 2 * own.aliveMembers().size() <= roster.size()
+                || !own.aliveMembers().contains(self)) {
             return List.of();
         }
         List<Report> agreed = new ArrayList<>();
-        for (String name : new TreeSet<>(own.heard())) {
+        for (String name : new TreeSet<>(own.aliveMembers())) {
             Report report = of.get(name);
-            if (report == null || !report.heard().equals(own.heard())) {
+            if (report == null || !report.aliveMembers().equals(own.aliveMembers())) {
                 return List.of();
             }
             agreed.add(report);
--- a/src/main/java/cypressglade/share/Key.java
+++ b/src/main/java/cypressglade/share/ShareKey.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /** How what is shared is named among members. */
-public final class Key {
+public final class ShareKey {
     /** How a node's key begins; its part counts over a time, and not by a store that fills. */
     static final String NODE = "n ";
 
@@ -11,17 +11,17 @@
     private static final int HEX = 16;
 
     /** One run of a node. */
-    public record Run(String id, long startedUs) {}
+    public record NodeGeneration(String id, long startedUs) {}
 
-    private Key() {}
+    private ShareKey() {}
 
     /** A volume, by its id. */
-    public static String volume(long id) {
+    public static String ofVolume(long id) {
         return VOLUME + Long.toHexString(id);
     }
 
     /** A cold node, by its id and its start in microseconds of the epoch. */
-    public static String node(String id, long startedUs) {
+    public static String ofNode(String id, long startedUs) {
         return NODE + startedUs + " " + id;
     }
 
@@ -31,17 +31,18 @@
     }
 
     /** The id of a volume's key. */
-    public static long volume(String key) {
+    public static long volumeId(String key) {
         return Long.parseUnsignedLong(key.substring(VOLUME.length()), HEX);
     }
 
     /** The run of a node's key; nothing where it is none. */
-    public static Optional<Run> run(String key) {
+    public static Optional<NodeGeneration> nodeGeneration(String key) {
         if (!key.matches(NODE + "[0-9]{1,18} .+")) {
             return Optional.empty();
         }
         int id = key.indexOf(' ', NODE.length());
         return Optional.of(
-                new Run(key.substring(id + 1), Long.parseLong(key.substring(NODE.length(), id))));
+                new NodeGeneration(
+                        key.substring(id + 1), Long.parseLong(key.substring(NODE.length(), id))));
     }
 }
--- a/src/main/java/cypressglade/share/Sharing.java
+++ b/src/main/java/cypressglade/share/SharingProtocol.java
@@ -1,6 +1,5 @@
 package cypressglade.share;
 
-import cypressglade.share.Notice.Piece;
 import cypressglade.share.Verdicts.Verdict;
 import java.time.Duration;
 import java.time.Instant;
@@ -21,16 +20,16 @@
 
 /**
  * One member's side of what a fleet shares. Each window it asks its scheduler what was wanted,
- * tells that to all, and reckons its parts of the window that begins ({@link Shares}); in between
- * it asks a few others what they hold, so that what a link lost comes another way. Verdicts go out
- * once when they are new and are compared by digest after that.
+ * tells that to all, and reckons its parts of the window that begins ({@link ShareCalculator}); in
+ * between it asks a few others what they hold, so that what a link lost comes another way. Verdicts
+ * go out once when they are new and are compared by digest after that.
  *
  * <p>Time and chance come in as arguments; what goes out goes through {@link Out}. Not safe for use
  * by several threads.
  *
  * @param <A> how another member is reached
  */
-public final class Sharing<A> {
+public final class SharingProtocol<A> {
     /** Looks within a window. */
     public static final int TICKS = 4;
 
@@ -38,7 +37,7 @@
      * Keys that a report names: those asked for most. All others share what is left as unknown ones
      * do.
      */
-    public static final int MOST_KEYS = 256;
+    public static final int MAX_KEYS = 256;
 
     private static final int ASKED_A_TICK = 2;
     private static final int PIECES_AN_ANSWER = 8;
@@ -46,20 +45,21 @@
     private static final int MOST_KEY = 40; // letters: a datagram holds a piece's keys
 
     /** Most letters of a subject or a word: a datagram holds a few of them. */
-    public static final int MOST_TEXT = 128;
+    public static final int MAX_TEXT_LENGTH = 128;
 
     private final String self;
-    private final Terms terms;
+    private final SharingSettings terms;
     private final List<String> names;
     private final int span;
     private final RandomGenerator random;
     private final Out<A> out;
-    private final Shares shares;
+    private final ShareCalculator shares;
     private final Verdicts verdicts;
-    private final TreeMap<Long, Map<String, Map<Integer, Piece>>> partial = new TreeMap<>();
+    private final TreeMap<Long, Map<String, Map<Integer, Notice.Fragment>>> partial =
+            new TreeMap<>();
     private Map<String, A> present = Map.of();
     private long current;
-    private Grant granted;
+    private Allocation granted;
     private boolean stale;
     private long strangers;
 
@@ -69,19 +69,22 @@
         void send(A to, Notice notice);
 
         /** Exchange all verdicts with a member over a way that loses nothing. */
-        void exchange(A with);
+        void fetchVerdicts(A with);
 
         /**
          * A verdict holds from now on that did not before; not told of those that this member
          * gives.
          */
-        void ruled(Verdict verdict);
+        void verdictAccepted(Verdict verdict);
 
         /** These parts hold to the end of their window. */
-        void granted(Grant grant);
+        void allocationChanged(Allocation grant);
 
-        /** Asks what was wanted in a window that is over, to be told by {@link Sharing#wanted}. */
-        void ask(long window);
+        /**
+         * Asks what was wanted in a window that is over, to be told by {@link
+         * SharingProtocol#reportDemand}.
+         */
+        void requestDemand(long window);
     }
 
     /**
@@ -91,9 +94,9 @@
      *     of a cold node, is the least of those of so long a time
      * @param kept verdicts of the former life
      */
-    public Sharing(
+    public SharingProtocol(
             String self,
-            Terms terms,
+            SharingSettings terms,
             Duration held,
             Collection<Verdict> kept,
             RandomGenerator random,
@@ -101,25 +104,27 @@
             Instant now) {
         this.self = self;
         this.terms = terms;
-        this.names = terms.names();
-        this.span = (int) Math.ceil((double) held.toMillis() / terms.window().toMillis());
+        this.names = terms.orderedNames();
+        this.span = (int) Math.ceil((double) held.toMillis() / terms.windowLength().toMillis());
         this.random = random;
         this.out = out;
-        current = terms.window(now);
-        shares = new Shares(self, terms.roster(), terms.floor(), terms.lag(), current);
+        current = terms.windowAt(now);
+        shares =
+                new ShareCalculator(
+                        self, terms.roster(), terms.floorFraction(), terms.lagWindows(), current);
         verdicts = new Verdicts(self, kept);
-        granted = shares.grant(current);
+        granted = shares.allocation(current);
     }
 
     /** Tells what holds at the start: the floors, and the verdicts of the former life. */
-    public void begin() {
-        verdicts.all().forEach(out::ruled);
-        out.granted(granted);
+    public void start() {
+        verdicts.all().forEach(out::verdictAccepted);
+        out.allocationChanged(granted);
     }
 
     /** When to look next. */
-    public Instant due(Instant now) {
-        long step = Math.max(1, terms.window().toMillis() / TICKS);
+    public Instant nextTick(Instant now) {
+        long step = Math.max(1, terms.windowLength().toMillis() / TICKS);
         return Instant.ofEpochMilli((Math.floorDiv(now.toEpochMilli(), step) + 1) * step);
     }
 
@@ -141,13 +146,13 @@
                                         Map.Entry::getValue,
                                         (a, b) -> a,
                                         TreeMap::new));
-        long window = terms.window(now);
+        long window = terms.windowAt(now);
         if (window > current) {
             current = window;
             shares.forgetBefore(window - span);
-            partial.headMap(window - terms.lag(), false).clear();
+            partial.headMap(window - terms.lagWindows(), false).clear();
             stale = true;
-            out.ask(window - 1);
+            out.requestDemand(window - 1);
         }
         grant();
         List<A> others = new ArrayList<>(present.values());
@@ -159,7 +164,7 @@
     }
 
     /** What was wanted here in a window that is over, by key; goes out as this member's report. */
-    public void wanted(long window, Map<String, Double> wanted) {
+    public void reportDemand(long window, Map<String, Double> wanted) {
         Map<String, Double> most =
                 wanted.entrySet().stream()
                         .filter(one -> one.getValue() > 0 && one.getKey().length() <= MOST_KEY)
@@ -167,46 +172,46 @@
                                 Map.Entry.<String, Double>comparingByValue()
                                         .reversed()
                                         .thenComparing(Map.Entry.comparingByKey()))
-                        .limit(MOST_KEYS)
+                        .limit(MAX_KEYS)
                         .collect(Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue));
         Set<String> heard = new HashSet<>(present.keySet());
         heard.add(self);
-        shares.report(window, heard, most)
-                .ifPresent(report -> Notice.pieces(report, names).forEach(this::spread));
-        stale |= window <= current - terms.lag();
+        shares.recordOwnReport(window, heard, most)
+                .ifPresent(report -> Notice.fragmentsOf(report, names).forEach(this::spread));
+        stale |= window <= current - terms.lagWindows();
         grant();
     }
 
     /** Takes what another member said, and answers where that is wanted. */
     public void receive(Notice notice, A from) {
-        notice.pieces().forEach(this::take);
-        take(notice.verdicts());
-        if (!notice.held().isEmpty()) {
+        notice.fragments().forEach(this::take);
+        acceptVerdicts(notice.verdicts());
+        if (!notice.heldReports().isEmpty()) {
             answer(notice, from);
         }
         grant();
     }
 
     /** Takes verdicts of others. */
-    public void take(List<Verdict> others) {
+    public void acceptVerdicts(List<Verdict> others) {
         for (Verdict verdict : others) {
-            if (!terms.roster().contains(verdict.by())) {
+            if (!terms.roster().contains(verdict.issuer())) {
                 strangers++;
-            } else if (verdicts.take(verdict)) {
-                out.ruled(verdict);
+            } else if (verdicts.accept(verdict)) {
+                out.verdictAccepted(verdict);
                 spread(verdict);
             }
         }
     }
 
     /** An operator decided here: all are told, and it holds over a restart once it is kept. */
-    public Verdict give(String subject, String word, Instant now) {
-        Verdict verdict = verdicts.give(subject, word, now);
+    public Verdict issueVerdict(String subject, String word, Instant now) {
+        Verdict verdict = verdicts.issue(subject, word, now);
         spread(verdict);
         return verdict;
     }
 
-    private void spread(Piece piece) {
+    private void spread(Notice.Fragment piece) {
         for (A to : present.values()) {
             out.send(to, new Notice(verdicts.digest(), Map.of(), List.of(piece), List.of()));
         }
@@ -218,27 +223,29 @@
         }
     }
 
-    private void take(Piece piece) {
-        if (piece.window() < current - terms.lag() - span
+    private void take(Notice.Fragment piece) {
+        if (piece.window() < current - terms.lagWindows() - span
                 || piece.window() > current + 1
                 || !terms.roster().contains(piece.name())
-                || piece.of() < 1
-                || piece.of() > MOST_KEYS
-                || piece.number() < 0
-                || piece.number() >= piece.of()) {
+                || piece.count() < 1
+                || piece.count() > MAX_KEYS
+                || piece.index() < 0
+                || piece.index() >= piece.count()) {
             strangers += terms.roster().contains(piece.name()) ? 0 : 1;
             return;
         }
-        Map<String, Map<Integer, Piece>> window =
+        Map<String, Map<Integer, Notice.Fragment>> window =
                 partial.computeIfAbsent(piece.window(), number -> new HashMap<>());
-        Map<Integer, Piece> pieces = window.computeIfAbsent(piece.name(), name -> new TreeMap<>());
-        pieces.putIfAbsent(piece.number(), piece);
-        if (pieces.size() == piece.of()) {
+        Map<Integer, Notice.Fragment> pieces =
+                window.computeIfAbsent(piece.name(), name -> new TreeMap<>());
+        pieces.putIfAbsent(piece.index(), piece);
+        if (pieces.size() == piece.count()) {
             Map<String, Double> wanted = new LinkedHashMap<>();
-            pieces.values().forEach(one -> wanted.putAll(one.wanted()));
-            shares.take(new Report(piece.name(), piece.window(), heard(piece.heard()), wanted));
+            pieces.values().forEach(one -> wanted.putAll(one.demand()));
+            shares.addReport(
+                    new Report(piece.name(), piece.window(), heard(piece.aliveBits()), wanted));
             window.remove(piece.name());
-            stale |= piece.window() <= current - terms.lag();
+            stale |= piece.window() <= current - terms.lagWindows();
         }
     }
 
@@ -251,29 +258,30 @@
 
     private Map<Long, Long> held() {
         Map<Long, Long> held = new TreeMap<>();
-        for (long window = current - terms.lag(); window < current; window++) {
-            held.put(window, shares.held(window, names));
+        for (long window = current - terms.lagWindows(); window < current; window++) {
+            held.put(window, shares.heldReportBits(window, names));
         }
         return held;
     }
 
     /** Whether the sender of a notice names the report's window and does not hold the report. */
     private boolean lacks(Notice notice, Report report) {
-        return notice.held().containsKey(report.window())
-                && (notice.held().get(report.window()) & 1L << names.indexOf(report.name())) == 0;
+        return notice.heldReports().containsKey(report.window())
+                && (notice.heldReports().get(report.window()) & 1L << names.indexOf(report.name()))
+                        == 0;
     }
 
     private void answer(Notice notice, A from) {
-        List<Piece> lacking =
-                shares.since(current - terms.lag()).stream()
+        List<Notice.Fragment> lacking =
+                shares.reportsSince(current - terms.lagWindows()).stream()
                         .filter(report -> lacks(notice, report))
                         .sorted(
                                 Comparator.comparingLong(Report::window)
                                         .thenComparing(Report::name))
-                        .flatMap(report -> Notice.pieces(report, names).stream())
+                        .flatMap(report -> Notice.fragmentsOf(report, names).stream())
                         .limit(PIECES_AN_ANSWER)
                         .toList();
-        for (Piece piece : lacking) {
+        for (Notice.Fragment piece : lacking) {
             out.send(from, new Notice(verdicts.digest(), Map.of(), List.of(piece), List.of()));
         }
         if (notice.digest() != verdicts.digest()) {
@@ -281,7 +289,7 @@
             if (all.size() <= VERDICTS_A_NOTICE) {
                 out.send(from, new Notice(verdicts.digest(), Map.of(), List.of(), all));
             } else {
-                out.exchange(from); // each sees the other's digest, and fetches what it lacks
+                out.fetchVerdicts(from); // each sees the other's digest, and fetches what it lacks
             }
         }
     }
@@ -292,33 +300,35 @@
             return;
         }
         stale = false;
-        Grant least = shares.grant(current);
-        Map<String, Double> parts = new HashMap<>(least.parts());
-        double cold = least.rest();
+        Allocation least = shares.allocation(current);
+        Map<String, Double> parts = new HashMap<>(least.shares());
+        double cold = least.otherVolumeShare();
         for (long before = current - span; before < current; before++) {
-            Grant then = shares.grant(before);
+            Allocation then = shares.allocation(before);
             Set<String> keys = new TreeSet<>(parts.keySet());
-            keys.addAll(then.parts().keySet());
+            keys.addAll(then.shares().keySet());
             for (String key : keys) {
-                if (key.startsWith(Key.NODE)) {
+                if (key.startsWith(ShareKey.NODE)) {
                     parts.put(
                             key,
                             Math.min(
                                     parts.getOrDefault(key, cold),
-                                    then.parts().getOrDefault(key, then.rest())));
+                                    then.shares().getOrDefault(key, then.otherVolumeShare())));
                 }
             }
-            cold = Math.min(cold, then.rest());
+            cold = Math.min(cold, then.otherVolumeShare());
         }
-        Grant next = new Grant(current, parts, least.rest(), cold, least.agreed());
+        Allocation next =
+                new Allocation(
+                        current, parts, least.otherVolumeShare(), cold, least.agreedMembers());
         if (!next.equals(granted)) {
             granted = next;
-            out.granted(next);
+            out.allocationChanged(next);
         }
     }
 
     /** What holds in the present window. */
-    public Grant granted() {
+    public Allocation allocation() {
         return granted;
     }
 
@@ -330,7 +340,7 @@
     /**
      * Reports and verdicts turned away: of names that are not of the roster, or for want of room.
      */
-    public long turnedAway() {
-        return strangers + shares.turnedAway() + verdicts.turnedAway();
+    public long rejected() {
+        return strangers + shares.rejected() + verdicts.rejected();
     }
 }
--- a/src/main/java/cypressglade/share/Verdicts.java
+++ b/src/main/java/cypressglade/share/Verdicts.java
@@ -20,9 +20,9 @@
     private static final int MOST_SUBJECTS = 8192;
 
     private static final Comparator<Verdict> LATER =
-            Comparator.comparing(Verdict::at)
-                    .thenComparing(Verdict::by)
-                    .thenComparingLong(Verdict::number);
+            Comparator.comparing(Verdict::issuedAt)
+                    .thenComparing(Verdict::issuer)
+                    .thenComparingLong(Verdict::sequence);
 
     private final String self;
     private final Map<String, Verdict> bySubject = new TreeMap<>();
@@ -33,13 +33,14 @@
      * One decision.
      *
      * @param subject such as {@code node s-1} or {@code member scheduler-2}
-     * @param word such as {@code exclude}, {@code include}, {@code drain}, {@code evacuate}, {@code
-     *     activate}
-     * @param at by the clock of the member that it was given at
-     * @param by that member
-     * @param number of that member's verdicts, in order
+     * @param action such as {@code exclude}, {@code include}, {@code drain}, {@code evacuate},
+     *     {@code activate}
+     * @param issuedAt by the clock of the member that it was given at
+     * @param issuer that member
+     * @param sequence of that member's verdicts, in order
      */
-    public record Verdict(String subject, String word, Instant at, String by, long number) {}
+    public record Verdict(
+            String subject, String action, Instant issuedAt, String issuer, long sequence) {}
 
     /**
      * Verdicts as this member holds them; {@code kept} is what its former life held, from its
@@ -47,29 +48,31 @@
      */
     public Verdicts(String self, Collection<Verdict> kept) {
         this.self = self;
-        kept.forEach(this::take);
+        kept.forEach(this::accept);
     }
 
     /**
      * A verdict given at this member; later than what it holds of the subject, whatever its clock
      * says.
      */
-    public Verdict give(String subject, String word, Instant now) {
+    public Verdict issue(String subject, String word, Instant now) {
         Instant clock =
                 now.truncatedTo(ChronoUnit.MILLIS); // as others hear of it, or two would differ
         Verdict before = bySubject.get(subject);
         Instant at =
-                before == null || before.at().isBefore(clock) ? clock : before.at().plusMillis(1);
+                before == null || before.issuedAt().isBefore(clock)
+                        ? clock
+                        : before.issuedAt().plusMillis(1);
         Verdict verdict = new Verdict(subject, word, at, self, ++lastNumber);
-        take(verdict);
+        accept(verdict);
         return verdict;
     }
 
     /** Takes another's verdict; whether it holds now and did not before. */
-    public boolean take(Verdict verdict) {
-        if (verdict.by()
+    public boolean accept(Verdict verdict) {
+        if (verdict.issuer()
                 .equals(self)) { // of this life or of the former one: numbers go on from there
-            lastNumber = Math.max(lastNumber, verdict.number());
+            lastNumber = Math.max(lastNumber, verdict.sequence());
         }
         Verdict before = bySubject.get(verdict.subject());
         if (before == null && bySubject.size() >= MOST_SUBJECTS) {
@@ -84,7 +87,7 @@
     }
 
     /** The verdict that holds on a subject. */
-    public Optional<Verdict> on(String subject) {
+    public Optional<Verdict> current(String subject) {
         return Optional.ofNullable(bySubject.get(subject));
     }
 
@@ -100,14 +103,14 @@
     public long digest() {
         long digest = 1;
         for (Verdict verdict : bySubject.values()) {
-            long one = verdict.subject().hashCode() * 31L + verdict.at().toEpochMilli();
-            digest = digest * 0x9E3779B97F4A7C15L + one * 31 + verdict.by().hashCode();
+            long one = verdict.subject().hashCode() * 31L + verdict.issuedAt().toEpochMilli();
+            digest = digest * 0x9E3779B97F4A7C15L + one * 31 + verdict.issuer().hashCode();
         }
         return digest;
     }
 
     /** Verdicts that there was no room for. */
-    public long turnedAway() {
+    public long rejected() {
         return turnedAway;
     }
 }
--- a/src/test/java/cypressglade/config/ConfigTest.java
+++ b/src/test/java/cypressglade/config/ConfigTest.java
@@ -7,7 +7,7 @@
 import cypressglade.core.Scheduler.State;
 import cypressglade.member.Timing;
 import cypressglade.peer.PeersConfig;
-import cypressglade.share.Terms;
+import cypressglade.share.SharingSettings;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -213,7 +213,7 @@
         assertThat(talk.timing()).isEqualTo(Timing.standard());
         assertThat(talk.terms().orElseThrow())
                 .isEqualTo(
-                        new Terms(
+                        new SharingSettings(
                                 Set.of("scheduler-1", "scheduler-2", "scheduler-3"),
                                 0.25,
                                 2,
--- a/src/test/java/cypressglade/fleet/FleetViewMeasure.java
+++ b/src/test/java/cypressglade/fleet/FleetViewMeasure.java
@@ -86,11 +86,14 @@
 
     private void say(String what, int size, Found found) {
         Bounds bounds = new Bounds(TIMING, size);
-        figures.atMost("detect_ms_p99_" + what, found.detectMost(), bounds.detect().toMillis());
-        figures.atMost("heal_ms_p99_" + what, found.healMost(), bounds.heal().toMillis());
+        figures.atMost(
+                "detect_ms_p99_" + what, found.detectMost(), bounds.detectionTime().toMillis());
+        figures.atMost("heal_ms_p99_" + what, found.healMost(), bounds.healTime().toMillis());
         figures.atMost("false_dead_" + what, found.falseDead, 0);
         figures.atMost(
-                "msgs_per_member_period_" + what, found.messages, bounds.messages(LOSS, ABSENT));
+                "msgs_per_member_period_" + what,
+                found.messages,
+                bounds.messagesPerPeriod(LOSS, ABSENT));
     }
 
     private void within(String name, List<Long> ran, List<Long> played) {
--- a/src/test/java/cypressglade/fleet/FleetViewTest.java
+++ b/src/test/java/cypressglade/fleet/FleetViewTest.java
@@ -58,7 +58,7 @@
         long settled = fleet.oneView(WAIT);
         assertThat(settled - since)
                 .as(fleet.text())
-                .isBetween(0L, BOUNDS.heal().plus(BUSY).toMillis());
+                .isBetween(0L, BOUNDS.healTime().plus(BUSY).toMillis());
         fleet.pass(PERIOD.multipliedBy(12));
         assertThat(fleet.deaths(since, gone)).as("nobody flaps once healed").isEmpty();
         assertThat(fleet.oneView(WAIT)).isPositive();
@@ -71,7 +71,7 @@
         long held = fleet.held(fleet.running(), "m-1", State.DEAD, WAIT);
         assertThat(held - killed)
                 .as(fleet.text())
-                .isBetween(0L, BOUNDS.detect().plus(BUSY).toMillis());
+                .isBetween(0L, BOUNDS.detectionTime().plus(BUSY).toMillis());
         assertThat(fleet.deaths(killed, "m-1")).isEmpty();
         long started = now();
         fleet.start(1);
@@ -96,12 +96,12 @@
         for (String name : List.of("m-2", "m-3", "m-4")) {
             assertThat(fleet.held(List.of(0, 1), name, State.DEAD, WAIT) - cut)
                     .as(fleet.text())
-                    .isBetween(0L, BOUNDS.split(2).plus(BUSY).toMillis());
+                    .isBetween(0L, BOUNDS.splitDetectionTime(2).plus(BUSY).toMillis());
         }
         for (String name : List.of("m-0", "m-1")) {
             assertThat(fleet.held(List.of(2, 3, 4), name, State.DEAD, WAIT) - cut)
                     .as(fleet.text())
-                    .isBetween(0L, BOUNDS.split(3).plus(BUSY).toMillis());
+                    .isBetween(0L, BOUNDS.splitDetectionTime(3).plus(BUSY).toMillis());
         }
         fleet.pass(Duration.ofSeconds(10).minusMillis(now() - cut));
         assertThat(fleet.deaths(cut))
@@ -123,7 +123,7 @@
     void aLinkThatIsCutOneWayCostsNobody() throws Exception {
         long cut = now();
         fleet.act("0s cut-one-way 1 2");
-        fleet.pass(BOUNDS.detect());
+        fleet.pass(BOUNDS.detectionTime());
         assertThat(fleet.deaths(cut)).as(fleet.text()).isEmpty();
         fleet.hub().change(Faults::mend);
     }
--- a/src/test/java/cypressglade/fleet/ViewTest.java
+++ b/src/test/java/cypressglade/fleet/ViewTest.java
@@ -27,17 +27,18 @@
 
     @Test
     void changesCountFlapsAndTheWholeSaysHowLongItHasHeld() throws Exception {
-        JsonNode first = json(view.change(member("m-1", 7, State.ALIVE), Instant.ofEpochSecond(1)));
+        JsonNode first =
+                json(view.recordChange(member("m-1", 7, State.ALIVE), Instant.ofEpochSecond(1)));
         assertThat(first.path("fleet").asText()).isEqualTo("change");
         assertThat(first.path("member").path("state").asText()).isEqualTo("alive");
         assertThat(first.path("member").path("address").asText()).isEqualTo("127.0.0.1:1001");
-        view.change(member("m-1", 7, State.SUSPECT), Instant.ofEpochSecond(2));
+        view.recordChange(member("m-1", 7, State.SUSPECT), Instant.ofEpochSecond(2));
         // refuted in time: no flap
-        view.change(member("m-1", 7, State.ALIVE), Instant.ofEpochSecond(3));
-        view.change(member("m-1", 7, State.DEAD), Instant.ofEpochSecond(4));
-        view.change(member("m-1", 8, State.ALIVE), Instant.ofEpochSecond(5));
+        view.recordChange(member("m-1", 7, State.ALIVE), Instant.ofEpochSecond(3));
+        view.recordChange(member("m-1", 7, State.DEAD), Instant.ofEpochSecond(4));
+        view.recordChange(member("m-1", 8, State.ALIVE), Instant.ofEpochSecond(5));
         MemberNet net = new MemberNet(1, Timing.standard());
-        JsonNode whole = json(view.whole(net.start(0), Instant.ofEpochSecond(9)).toString());
+        JsonNode whole = json(view.toJson(net.start(0), Instant.ofEpochSecond(9)).toString());
         assertThat(whole.path("flaps").asLong()).isEqualTo(1);
         assertThat(whole.path("changes").asLong()).isEqualTo(5);
         assertThat(whole.path("settled_ms").asLong()).isEqualTo(4000);
@@ -46,7 +47,7 @@
         assertThat(whole.path("members").get(0).path("life").asText()).isEqualTo("8");
         view.retain(List.of());
         assertThat(
-                        json(view.whole(net.start(0), Instant.ofEpochSecond(9)).toString())
+                        json(view.toJson(net.start(0), Instant.ofEpochSecond(9)).toString())
                                 .path("members"))
                 .isEmpty();
     }
@@ -55,7 +56,7 @@
     void aRefusedNameIsToldOnce() throws Exception {
         JsonNode line =
                 json(
-                        view.refusal(
+                        view.recordRefusal(
                                 member("m-1", 7, State.ALIVE),
                                 member("m-1", 9, State.ALIVE),
                                 Instant.EPOCH));
@@ -63,13 +64,13 @@
         assertThat(line.path("claim").path("life").asText()).isEqualTo("9");
         assertThat(line.path("remedy").asText()).contains("another name");
         assertThat(
-                        view.refusal(
+                        view.recordRefusal(
                                 member("m-1", 7, State.ALIVE),
                                 member("m-1", 9, State.ALIVE),
                                 Instant.EPOCH))
                 .isEmpty();
         assertThat(
-                        view.refusal(
+                        view.recordRefusal(
                                 member("m-1", 7, State.ALIVE),
                                 member("m-1", 10, State.ALIVE),
                                 Instant.EPOCH))
@@ -79,14 +80,16 @@
     @Test
     void boundsGrowWithTheLogarithmAndThePeriod() {
         Bounds five = new Bounds(Timing.every(Duration.ofMillis(200)), 5);
-        assertThat(five.detect()).isEqualTo(Duration.ofMillis(4000));
-        assertThat(new Bounds(Timing.standard(), 5).detect())
-                .isEqualTo(five.detect().multipliedBy(5));
-        assertThat(new Bounds(Timing.standard(), 1000).detect()).isEqualTo(Duration.ofSeconds(62));
-        assertThat(five.messages(0, 0)).isEqualTo(2);
-        assertThat(five.messages(0.1, 0.05))
+        assertThat(five.detectionTime()).isEqualTo(Duration.ofMillis(4000));
+        assertThat(new Bounds(Timing.standard(), 5).detectionTime())
+                .isEqualTo(five.detectionTime().multipliedBy(5));
+        assertThat(new Bounds(Timing.standard(), 1000).detectionTime())
+                .isEqualTo(Duration.ofSeconds(62));
+        assertThat(five.messagesPerPeriod(0, 0)).isEqualTo(2);
+        assertThat(five.messagesPerPeriod(0.1, 0.05))
                 .isBetween(2.8, 3.5)
-                .isEqualTo(new Bounds(Timing.standard(), 1000).messages(0.1, 0.05));
-        assertThat(five.split(2)).isBetween(five.detect(), five.detect().multipliedBy(2));
+                .isEqualTo(new Bounds(Timing.standard(), 1000).messagesPerPeriod(0.1, 0.05));
+        assertThat(five.splitDetectionTime(2))
+                .isBetween(five.detectionTime(), five.detectionTime().multipliedBy(2));
     }
 }
--- a/src/test/java/cypressglade/lab/MemberLabTest.java
+++ b/src/test/java/cypressglade/lab/MemberLabTest.java
@@ -25,13 +25,15 @@
             MemberLab.Result crash = lab.crash(size, seed, 0);
             assertThat(crash.millis())
                     .as("crash " + seed)
-                    .isBetween(0L, bounds.detect().toMillis());
+                    .isBetween(0L, bounds.detectionTime().toMillis());
             MemberLab.Result split = lab.split(size, side, seed);
             assertThat(split.millis())
                     .as("split " + seed)
-                    .isBetween(0L, bounds.split(side).toMillis());
+                    .isBetween(0L, bounds.splitDetectionTime(side).toMillis());
             MemberLab.Result heal = lab.heal(size, side, Duration.ofSeconds(10), seed);
-            assertThat(heal.millis()).as("heal " + seed).isBetween(0L, bounds.heal().toMillis());
+            assertThat(heal.millis())
+                    .as("heal " + seed)
+                    .isBetween(0L, bounds.healTime().toMillis());
             assertThat(crash.falseDead() + split.falseDead() + heal.falseDead())
                     .as("false " + seed)
                     .isZero();
@@ -46,7 +48,7 @@
                     lab.loss(size, 0.1, Duration.ofSeconds(60), Duration.ofMillis(400), seed);
             assertThat(lossy.falseDead()).as("seed " + seed).isZero();
             assertThat(lossy.perMemberPeriod())
-                    .isBetween(2.0, new Bounds(TIMING, size).messages(0.1, 0.05));
+                    .isBetween(2.0, new Bounds(TIMING, size).messagesPerPeriod(0.1, 0.05));
         }
     }
 }
--- a/src/test/java/cypressglade/peer/CodecTest.java
+++ b/src/test/java/cypressglade/peer/CodecTest.java
@@ -15,7 +15,6 @@
 import cypressglade.peer.Sealed.Fault;
 import cypressglade.peer.Sealed.Refused;
 import cypressglade.share.Notice;
-import cypressglade.share.Notice.Piece;
 import cypressglade.share.Verdicts.Verdict;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -102,7 +101,7 @@
                         -7,
                         Map.of(5L, -1L, 6L, 3L),
                         List.of(
-                                new Piece(
+                                new Notice.Fragment(
                                         "m-1",
                                         5,
                                         0,
--- a/src/test/java/cypressglade/peer/PeersTest.java
+++ b/src/test/java/cypressglade/peer/PeersTest.java
@@ -16,7 +16,7 @@
 import cypressglade.member.News;
 import cypressglade.member.Timing;
 import cypressglade.share.Notice;
-import cypressglade.share.Terms;
+import cypressglade.share.SharingSettings;
 import cypressglade.share.Verdicts.Verdict;
 import cypressglade.standin.HttpPeer;
 import cypressglade.standin.Site;
@@ -437,7 +437,8 @@
     @Test
     void aVerdictOfAStrangersKeyOrNameIsTurnedAway() throws Exception {
         PeersConfig.Talk plain = talking("a", LONG).talk().orElseThrow();
-        Terms terms = new Terms(Set.of("a", "h"), 0.25, 2, Duration.ofSeconds(1));
+        SharingSettings terms =
+                new SharingSettings(Set.of("a", "h"), 0.25, 2, Duration.ofSeconds(1));
         PeersConfig.Talk sharing =
                 new PeersConfig.Talk(
                         plain.listen(),
--- a/src/test/java/cypressglade/share/FleetLimitsMeasure.java
+++ b/src/test/java/cypressglade/share/FleetLimitsMeasure.java
@@ -33,7 +33,7 @@
     /**
      * A verdict goes out once, and what is lost comes with the next comparison: within two windows.
      */
-    private static final double MOST_SPREAD_MS = 2.0 * LimitRig.TERMS.window().toMillis();
+    private static final double MOST_SPREAD_MS = 2.0 * LimitRig.TERMS.windowLength().toMillis();
 
     private static final Duration FALL = Duration.ofSeconds(1);
 
--- a/src/test/java/cypressglade/share/LimitRig.java
+++ b/src/test/java/cypressglade/share/LimitRig.java
@@ -30,8 +30,8 @@
 final class LimitRig implements AutoCloseable {
     static final int MEMBERS = 5;
     static final Duration PERIOD = Duration.ofMillis(200);
-    static final Terms TERMS =
-            new Terms(
+    static final SharingSettings TERMS =
+            new SharingSettings(
                     IntStream.range(0, MEMBERS)
                             .mapToObj(ProcessFleet::name)
                             .collect(Collectors.toSet()),
--- a/src/test/java/cypressglade/share/SharingTest.java
+++ b/src/test/java/cypressglade/share/SharingTest.java
@@ -63,8 +63,8 @@
         assertThat(found.holds()).as("%s", found).isTrue();
     }
 
-    private static Shares shares(String self) {
-        return new Shares(self, ROSTER, 0.25, 1, 0);
+    private static ShareCalculator shares(String self) {
+        return new ShareCalculator(self, ROSTER, 0.25, 1, 0);
     }
 
     private static Report report(String name, Set<String> heard, double wanted) {
@@ -74,59 +74,59 @@
     @Example
     void thoseWhoAgreeShareByDemandAndTheRestHaveTheirFloor() {
         Set<String> side = Set.of("a", "b", "c");
-        Shares a = shares("a");
-        Shares e = shares("e");
-        for (Shares each : List.of(a, e)) {
+        ShareCalculator a = shares("a");
+        ShareCalculator e = shares("e");
+        for (ShareCalculator each : List.of(a, e)) {
             List.of(
                             report("a", side, 6),
                             report("b", side, 2),
                             report("c", side, 0),
                             report("d", Set.of("d", "e"), 50),
                             report("e", Set.of("d", "e"), 50))
-                    .forEach(each::take);
+                    .forEach(each::addReport);
         }
-        assertThat(a.part("v", 6)).isEqualTo(0.05 + 0.75 * 6 / 8, offset(ROUNDING));
-        assertThat(a.part("other", 6)).isEqualTo(0.05 + 0.75 / 3, offset(ROUNDING));
-        assertThat(a.part("v", 7)).as("nothing is known of that window").isEqualTo(0.05);
-        assertThat(e.part("v", 6)).as("two of five").isEqualTo(0.05);
+        assertThat(a.share("v", 6)).isEqualTo(0.05 + 0.75 * 6 / 8, offset(ROUNDING));
+        assertThat(a.share("other", 6)).isEqualTo(0.05 + 0.75 / 3, offset(ROUNDING));
+        assertThat(a.share("v", 7)).as("nothing is known of that window").isEqualTo(0.05);
+        assertThat(e.share("v", 6)).as("two of five").isEqualTo(0.05);
     }
 
     @Example
     void oneReportThatLacksOrDiffersLeavesTheFloor() {
-        Shares a = shares("a");
+        ShareCalculator a = shares("a");
         Set<String> side = Set.of("a", "b", "c");
-        a.take(report("a", side, 6));
-        a.take(report("b", side, 2));
-        assertThat(a.part("v", 6)).isEqualTo(0.05);
-        a.take(report("c", ROSTER, 2));
-        assertThat(a.part("v", 6)).isEqualTo(0.05);
-        a.take(report("c", side, 2)); // the first of a member and window holds
-        assertThat(a.part("v", 6)).isEqualTo(0.05);
-        a.take(new Report("x", 5, side, Map.of()));
-        assertThat(a.turnedAway()).isEqualTo(1);
+        a.addReport(report("a", side, 6));
+        a.addReport(report("b", side, 2));
+        assertThat(a.share("v", 6)).isEqualTo(0.05);
+        a.addReport(report("c", ROSTER, 2));
+        assertThat(a.share("v", 6)).isEqualTo(0.05);
+        a.addReport(report("c", side, 2)); // the first of a member and window holds
+        assertThat(a.share("v", 6)).isEqualTo(0.05);
+        a.addReport(new Report("x", 5, side, Map.of()));
+        assertThat(a.rejected()).isEqualTo(1);
     }
 
     /** Guards against a window that counts twice: the former life may have told it already. */
     @Example
     void aRestartReportsNoWindowThatItsFormerLifeMayHave() {
-        Shares again = new Shares("a", ROSTER, 0.25, 1, 5);
-        assertThat(again.report(5, ROSTER, Map.of())).isEmpty();
-        assertThat(again.report(6, ROSTER, Map.of())).isPresent();
+        ShareCalculator again = new ShareCalculator("a", ROSTER, 0.25, 1, 5);
+        assertThat(again.recordOwnReport(5, ROSTER, Map.of())).isEmpty();
+        assertThat(again.recordOwnReport(6, ROSTER, Map.of())).isPresent();
     }
 
     @Example
     void laterVerdictHoldsOverARestartAndASlowClock() {
         Verdicts a = new Verdicts("a", List.of());
-        Verdict exclude = a.give("node s-1", "exclude", Instant.ofEpochSecond(9));
+        Verdict exclude = a.issue("node s-1", "exclude", Instant.ofEpochSecond(9));
         Verdicts b = new Verdicts("b", List.of());
-        assertThat(b.take(exclude)).isTrue();
-        assertThat(b.take(exclude)).isFalse();
+        assertThat(b.accept(exclude)).isTrue();
+        assertThat(b.accept(exclude)).isFalse();
         Verdict include =
-                b.give("node s-1", "include", Instant.ofEpochSecond(3)); // its clock is behind
-        assertThat(a.take(include)).isTrue();
-        assertThat(a.take(exclude)).isFalse();
+                b.issue("node s-1", "include", Instant.ofEpochSecond(3)); // its clock is behind
+        assertThat(a.accept(include)).isTrue();
+        assertThat(a.accept(exclude)).isFalse();
         Verdicts again = new Verdicts("a", a.all());
-        assertThat(again.on("node s-1")).contains(include);
-        assertThat(again.give("node s-2", "drain", Instant.EPOCH).number()).isEqualTo(1);
+        assertThat(again.current("node s-1")).contains(include);
+        assertThat(again.issue("node s-2", "drain", Instant.EPOCH).sequence()).isEqualTo(1);
     }
 }
