--- a/src/main/java/cypressglade/share/Allocation.java
+++ b/src/main/java/cypressglade/share/Allocation.java
@@ -3,13 +3,15 @@
 import java.util.Map;
 
 /**
- * What one member may take of the whole in a window.
+ * The fractions of the shared limits that one member may use in one window.
  *
- * @param shares by key, of the keys that anybody reported
- * @param otherVolumeShare of every other volume
- * @param otherColdNodeShare of every other cold node
- * @param agreedMembers how many reported the same whom they hear; 0 where that is not known, and
- *     all are floors
+ * @param window number of the window, as {@link SharingSettings#windowAt} counts
+ * @param shares this member's share by key ({@link ShareKey}), over 0 and at most 1, for each key
+ *     in the reports of the agreed members
+ * @param otherVolumeShare share of each volume that is not in {@code shares}
+ * @param otherColdNodeShare share of each cold node that is not in {@code shares}
+ * @param agreedMembers how many members reported the same set of live members; 0 if there is no
+ *     agreement, in which case every share is the floor
  */
 public record Allocation(
         long window,
@@ -17,6 +19,7 @@
         double otherVolumeShare,
         double otherColdNodeShare,
         int agreedMembers) {
+    /** Copies the shares. */
     public Allocation {
         shares = Map.copyOf(shares);
     }
--- a/src/main/java/cypressglade/share/Notice.java
+++ b/src/main/java/cypressglade/share/Notice.java
@@ -7,22 +7,24 @@
 import java.util.TreeMap;
 
 /**
- * What one member tells another in one datagram.
+ * A gossip notice: what one member sends another in one datagram.
  *
- * @param digest of the verdicts that the sender holds
- * @param heldReports where an answer is wanted, whose reports the sender holds, by window: bit
- *     {@code i} stands for the {@code i}th name of the roster; empty where none is wanted
+ * @param digest of the verdicts that the sender holds ({@link Verdicts#digest})
+ * @param heldReports in a query, the reports that the sender holds, by window number: bit {@code i}
+ *     is set if it holds the report of the roster's {@code i}th name in order; empty if no answer
+ *     is wanted
  * @param fragments of reports
- * @param verdicts some of those that the sender holds
+ * @param verdicts some of the verdicts that the sender holds
  */
 public record Notice(
         long digest,
         Map<Long, Long> heldReports,
         List<Fragment> fragments,
         List<Verdict> verdicts) {
-    /** Keys of a report that fit one datagram beside the rest. */
-    private static final int KEYS = 20;
+    /** Keys of a report that fit into one datagram beside the other fields. */
+    private static final int KEYS_PER_FRAGMENT = 20;
 
+    /** Copies the collections. */
     public Notice {
         heldReports = Map.copyOf(heldReports);
         fragments = List.copyOf(fragments);
@@ -30,11 +32,15 @@
     }
 
     /**
-     * A part of a report that is small enough for one datagram.
+     * A fragment of a {@link Report}, small enough for one datagram.
      *
-     * @param index from 0
-     * @param count how many the report has
-     * @param aliveBits bit {@code i} for the {@code i}th name of the roster
+     * @param name of the member that made the report
+     * @param window number of the reported window
+     * @param index of this fragment, from 0
+     * @param count of the report's fragments, at least 1
+     * @param aliveBits the report's live members: bit {@code i} for the roster's {@code i}th name
+     *     in order
+     * @param demand this fragment's part of the report's demand, in units by key
      */
     public record Fragment(
             String name,
@@ -43,27 +49,31 @@
             int count,
             long aliveBits,
             Map<String, Double> demand) {
+        /** Copies the demand. */
         public Fragment {
             demand = Map.copyOf(demand);
         }
     }
 
-    /** A report cut into pieces. */
+    /** Splits a report into fragments; {@code names} is the roster in order. */
     static List<Fragment> fragmentsOf(Report report, List<String> names) {
-        List<Map.Entry<String, Double>> all =
+        List<Map.Entry<String, Double>> entries =
                 List.copyOf(new TreeMap<>(report.demand()).entrySet());
-        int of = Math.max(1, (all.size() + KEYS - 1) / KEYS);
-        long heard = 0;
+        int count = Math.max(1, (entries.size() + KEYS_PER_FRAGMENT - 1) / KEYS_PER_FRAGMENT);
+        long aliveBits = 0;
         for (int i = 0; i < names.size(); i++) {
-            heard |= report.aliveMembers().contains(names.get(i)) ? 1L << i : 0;
+            aliveBits |= report.aliveMembers().contains(names.get(i)) ? 1L << i : 0;
         }
-        List<Fragment> pieces = new ArrayList<>();
-        for (int i = 0; i < of; i++) {
-            Map<String, Double> wanted = new TreeMap<>();
-            all.subList(i * KEYS, Math.min(all.size(), (i + 1) * KEYS))
-                    .forEach(one -> wanted.put(one.getKey(), one.getValue()));
-            pieces.add(new Fragment(report.name(), report.window(), i, of, heard, wanted));
+        List<Fragment> fragments = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            Map<String, Double> demand = new TreeMap<>();
+            entries.subList(
+                            i * KEYS_PER_FRAGMENT,
+                            Math.min(entries.size(), (i + 1) * KEYS_PER_FRAGMENT))
+                    .forEach(entry -> demand.put(entry.getKey(), entry.getValue()));
+            fragments.add(
+                    new Fragment(report.name(), report.window(), i, count, aliveBits, demand));
         }
-        return pieces;
+        return fragments;
     }
 }
--- a/src/main/java/cypressglade/share/Report.java
+++ b/src/main/java/cypressglade/share/Report.java
@@ -4,17 +4,19 @@
 import java.util.Set;
 
 /**
- * What one member says of one window that is over. It never changes: two that hold it hold the
- * same, so whoever reckons from the same reports comes to the same.
+ * One member's report of one window that has ended. A report never changes, so all members that
+ * hold it hold the same, and members that calculate from the same reports get the same result.
  *
  * @param name of the member, one of the roster
- * @param window its number, by the time of day
- * @param aliveMembers whom the member held alive when the window ended, itself among them
- * @param demand units asked of it in the window, by key (a volume, or a cold node's start); what is
- *     0 is left out
+ * @param window number of the window, as {@link SharingSettings#windowAt} counts
+ * @param aliveMembers the members, itself included, that the member held alive when the window
+ *     ended
+ * @param demand units that clients asked of the member in the window, by key ({@link ShareKey}: a
+ *     volume, or a generation of a cold node); keys with a demand of 0 are left out
  */
 public record Report(
         String name, long window, Set<String> aliveMembers, Map<String, Double> demand) {
+    /** Copies the collections. */
     public Report {
         aliveMembers = Set.copyOf(aliveMembers);
         demand = Map.copyOf(demand);
--- a/src/main/java/cypressglade/share/ShareKey.java
+++ b/src/main/java/cypressglade/share/ShareKey.java
@@ -2,47 +2,66 @@
 
 import java.util.Optional;
 
-/** How what is shared is named among members. */
+/**
+ * Text keys under which members report demand and receive shares: {@code "v ID"} for a volume, with
+ * its id in hexadecimal, and {@code "n STARTED ID"} for one generation of a cold node.
+ */
 public final class ShareKey {
-    /** How a node's key begins; its part counts over a time, and not by a store that fills. */
-    static final String NODE = "n ";
+    /**
+     * Prefix of a node's key. What a node was sent counts for a span of time, whereas a volume's
+     * limit is a token bucket that refills.
+     */
+    static final String NODE_PREFIX = "n ";
 
-    private static final String VOLUME = "v ";
-    private static final int HEX = 16;
+    private static final String VOLUME_PREFIX = "v ";
+    private static final int HEX_RADIX = 16;
 
-    /** One run of a node. */
+    /** Highest number of hexadecimal digits of a 64-bit id. */
+    private static final int MAX_HEX_DIGITS = 16;
+
+    /**
+     * One start of a storage node.
+     *
+     * @param id of the node
+     * @param startedUs when it started, in microseconds since the epoch
+     */
     public record NodeGeneration(String id, long startedUs) {}
 
     private ShareKey() {}
 
-    /** A volume, by its id. */
+    /** The key of the volume with this id. */
     public static String ofVolume(long id) {
-        return VOLUME + Long.toHexString(id);
+        return VOLUME_PREFIX + Long.toHexString(id);
     }
 
-    /** A cold node, by its id and its start in microseconds of the epoch. */
+    /** The key of a cold node, from its id and its start in microseconds since the epoch. */
     public static String ofNode(String id, long startedUs) {
-        return NODE + startedUs + " " + id;
+        return NODE_PREFIX + startedUs + " " + id;
     }
 
-    /** Whether a key is a volume's. */
+    /** Whether this is the key of a volume. */
     public static boolean isVolume(String key) {
-        return key.matches(VOLUME + "[0-9a-f]{1," + HEX + "}");
+        return key.matches(VOLUME_PREFIX + "[0-9a-f]{1," + MAX_HEX_DIGITS + "}");
     }
 
-    /** The id of a volume's key. */
+    /**
+     * The volume id in a key.
+     *
+     * @throws NumberFormatException if the key is not a volume's; see {@link #isVolume}
+     */
     public static long volumeId(String key) {
-        return Long.parseUnsignedLong(key.substring(VOLUME.length()), HEX);
+        return Long.parseUnsignedLong(key.substring(VOLUME_PREFIX.length()), HEX_RADIX);
     }
 
-    /** The run of a node's key; nothing where it is none. */
+    /** The node generation in a key; empty if the key is not a node's. */
     public static Optional<NodeGeneration> nodeGeneration(String key) {
-        if (!key.matches(NODE + "[0-9]{1,18} .+")) {
+        if (!key.matches(NODE_PREFIX + "[0-9]{1,18} .+")) {
             return Optional.empty();
         }
-        int id = key.indexOf(' ', NODE.length());
+        int space = key.indexOf(' ', NODE_PREFIX.length());
         return Optional.of(
                 new NodeGeneration(
-                        key.substring(id + 1), Long.parseLong(key.substring(NODE.length(), id))));
+                        key.substring(space + 1),
+                        Long.parseLong(key.substring(NODE_PREFIX.length(), space))));
     }
 }
--- a/src/main/java/cypressglade/share/SharingProtocol.java
+++ b/src/main/java/cypressglade/share/SharingProtocol.java
@@ -1,5 +1,6 @@
 package cypressglade.share;
 
+import cypressglade.share.Notice.Fragment;
 import cypressglade.share.Verdicts.Verdict;
 import java.time.Duration;
 import java.time.Instant;
@@ -19,328 +20,381 @@
 import java.util.stream.IntStream;
 
 /**
- * One member's side of what a fleet shares. Each window it asks its scheduler what was wanted,
- * tells that to all, and reckons its parts of the window that begins ({@link ShareCalculator}); in
- * between it asks a few others what they hold, so that what a link lost comes another way. Verdicts
- * go out once when they are new and are compared by digest after that.
+ * One member's side of the protocol by which a fleet shares limits and verdicts. At the start of
+ * each window the member asks its scheduler for the demand of the window before, sends that to all
+ * members as its report, and calculates its shares of the new window ({@link ShareCalculator}).
+ * Several times a window it sends queries to a few random members (anti-entropy), so that what one
+ * link lost arrives by another. A new verdict is sent to all members once; after that, members
+ * compare digests of their verdicts.
  *
- * <p>Time and chance come in as arguments; what goes out goes through {@link Out}. Not safe for use
- * by several threads.
+ * <p>Time and randomness are passed in as arguments; messages and orders go through {@link Out}.
+ * Not safe for use by several threads.
  *
- * @param <A> how another member is reached
+ * @param <A> address of another member
  */
 public final class SharingProtocol<A> {
-    /** Looks within a window. */
-    public static final int TICKS = 4;
+    /** Calls of {@link #tick} in a window. */
+    public static final int TICKS_PER_WINDOW = 4;
 
     /**
-     * Keys that a report names: those asked for most. All others share what is left as unknown ones
-     * do.
+     * Most keys in a report: those with the highest demand. The others get the share of keys that
+     * nobody reported.
      */
     public static final int MAX_KEYS = 256;
 
-    private static final int ASKED_A_TICK = 2;
-    private static final int PIECES_AN_ANSWER = 8;
-    private static final int VERDICTS_A_NOTICE = 3;
-    private static final int MOST_KEY = 40; // letters: a datagram holds a piece's keys
+    private static final int QUERIES_PER_TICK = 2;
+    private static final int MAX_FRAGMENTS_PER_ANSWER = 8;
+    private static final int MAX_VERDICTS_PER_NOTICE = 3;
 
-    /** Most letters of a subject or a word: a datagram holds a few of them. */
+    /** In characters, so that a fragment's keys fit into one datagram. */
+    private static final int MAX_KEY_LENGTH = 40;
+
+    /**
+     * Longest subject or action of a verdict in characters, so that several verdicts fit into one
+     * datagram.
+     */
     public static final int MAX_TEXT_LENGTH = 128;
 
     private final String self;
-    private final SharingSettings terms;
+    private final SharingSettings settings;
     private final List<String> names;
-    private final int span;
+    private final int coldSpanWindows;
     private final RandomGenerator random;
     private final Out<A> out;
-    private final ShareCalculator shares;
+    private final ShareCalculator calculator;
     private final Verdicts verdicts;
-    private final TreeMap<Long, Map<String, Map<Integer, Notice.Fragment>>> partial =
-            new TreeMap<>();
-    private Map<String, A> present = Map.of();
-    private long current;
-    private Allocation granted;
-    private boolean stale;
-    private long strangers;
-
-    /** What it orders. */
+
+    /** Fragments of reports that are not complete, by window, member and index. */
+    private final TreeMap<Long, Map<String, Map<Integer, Fragment>>> incomplete = new TreeMap<>();
+
+    private Map<String, A> aliveMembers = Map.of();
+    private long currentWindow;
+    private Allocation allocation;
+
+    /** Whether a new window or a late report may have changed the allocation. */
+    private boolean isStale;
+
+    private long rejected;
+
+    /**
+     * What the protocol sends, orders and asks for. Its owner implements this.
+     *
+     * @param <A> address of another member
+     */
     public interface Out<A> {
-        /** One datagram to a member. */
+        /** Sends one datagram to a member; it may be lost. */
         void send(A to, Notice notice);
 
-        /** Exchange all verdicts with a member over a way that loses nothing. */
-        void fetchVerdicts(A with);
+        /**
+         * Fetches all verdicts of a member over a reliable connection; they come back by {@link
+         * SharingProtocol#acceptVerdicts}.
+         */
+        void fetchVerdicts(A from);
 
         /**
-         * A verdict holds from now on that did not before; not told of those that this member
-         * gives.
+         * A verdict of another member came into force, or one from before a restart at the start.
+         * Not called for verdicts that this member issues.
          */
         void verdictAccepted(Verdict verdict);
 
-        /** These parts hold to the end of their window. */
-        void allocationChanged(Allocation grant);
+        /** These shares apply until the end of their window. */
+        void allocationChanged(Allocation allocation);
 
         /**
-         * Asks what was wanted in a window that is over, to be told by {@link
+         * Asks for the demand of a window that has ended; the answer comes by {@link
          * SharingProtocol#reportDemand}.
          */
         void requestDemand(long window);
     }
 
     /**
-     * A member that starts now.
+     * Creates the protocol of a member that starts now.
      *
-     * @param held how long what was sent counts against a part: a part that does not fill anew, as
-     *     of a cold node, is the least of those of so long a time
-     * @param kept verdicts of the former life
+     * @param self name of this member, one of the roster
+     * @param coldSpan how long a unit sent to a cold node counts against this member's share. A
+     *     cold node's capacity does not refill like a token bucket, so this member's share of it is
+     *     the smallest of all windows in that time.
+     * @param kept verdicts in force before a restart
+     * @param now decides which window is the current one
+     * @throws IllegalArgumentException if {@code self} is not in the roster
      */
     public SharingProtocol(
             String self,
-            SharingSettings terms,
-            Duration held,
+            SharingSettings settings,
+            Duration coldSpan,
             Collection<Verdict> kept,
             RandomGenerator random,
             Out<A> out,
             Instant now) {
         this.self = self;
-        this.terms = terms;
-        this.names = terms.orderedNames();
-        this.span = (int) Math.ceil((double) held.toMillis() / terms.windowLength().toMillis());
+        this.settings = settings;
+        this.names = settings.orderedNames();
+        this.coldSpanWindows =
+                (int) Math.ceil((double) coldSpan.toMillis() / settings.windowLength().toMillis());
         this.random = random;
         this.out = out;
-        current = terms.windowAt(now);
-        shares =
+        currentWindow = settings.windowAt(now);
+        calculator =
                 new ShareCalculator(
-                        self, terms.roster(), terms.floorFraction(), terms.lagWindows(), current);
+                        self,
+                        settings.roster(),
+                        settings.floorFraction(),
+                        settings.lagWindows(),
+                        currentWindow);
         verdicts = new Verdicts(self, kept);
-        granted = shares.allocation(current);
+        allocation = calculator.allocation(currentWindow);
     }
 
-    /** Tells what holds at the start: the floors, and the verdicts of the former life. */
+    /** Announces what applies at the start: the floors, and the verdicts from before a restart. */
     public void start() {
         verdicts.all().forEach(out::verdictAccepted);
-        out.allocationChanged(granted);
+        out.allocationChanged(allocation);
     }
 
-    /** When to look next. */
+    /** When {@link #tick} has to be called next. */
     public Instant nextTick(Instant now) {
-        long step = Math.max(1, terms.windowLength().toMillis() / TICKS);
+        long step = Math.max(1, settings.windowLength().toMillis() / TICKS_PER_WINDOW);
         return Instant.ofEpochMilli((Math.floorDiv(now.toEpochMilli(), step) + 1) * step);
     }
 
     /**
-     * Looks at the clock.
+     * Starts a new window if it is time, and sends queries to a few random members.
      *
-     * @param alive the other members that this one holds alive, and how they are reached
+     * @param alive the other members that this one holds alive, with their addresses
      */
     public void tick(Map<String, A> alive, Instant now) {
-        present =
+        aliveMembers =
                 alive.entrySet().stream()
                         .filter(
-                                one ->
-                                        terms.roster().contains(one.getKey())
-                                                && !one.getKey().equals(self))
+                                member ->
+                                        settings.roster().contains(member.getKey())
+                                                && !member.getKey().equals(self))
                         .collect(
                                 Collectors.toMap(
                                         Map.Entry::getKey,
                                         Map.Entry::getValue,
                                         (a, b) -> a,
                                         TreeMap::new));
-        long window = terms.windowAt(now);
-        if (window > current) {
-            current = window;
-            shares.forgetBefore(window - span);
-            partial.headMap(window - terms.lagWindows(), false).clear();
-            stale = true;
+        long window = settings.windowAt(now);
+        if (window > currentWindow) {
+            currentWindow = window;
+            calculator.forgetBefore(window - coldSpanWindows);
+            incomplete.headMap(window - settings.lagWindows(), false).clear();
+            isStale = true;
             out.requestDemand(window - 1);
         }
-        grant();
-        List<A> others = new ArrayList<>(present.values());
-        for (int i = 0; i < ASKED_A_TICK && !others.isEmpty(); i++) {
+        recalculateIfStale();
+        List<A> others = new ArrayList<>(aliveMembers.values());
+        for (int i = 0; i < QUERIES_PER_TICK && !others.isEmpty(); i++) {
             out.send(
                     others.remove(random.nextInt(others.size())),
-                    new Notice(verdicts.digest(), held(), List.of(), List.of()));
+                    new Notice(verdicts.digest(), heldReports(), List.of(), List.of()));
         }
     }
 
-    /** What was wanted here in a window that is over, by key; goes out as this member's report. */
-    public void reportDemand(long window, Map<String, Double> wanted) {
-        Map<String, Double> most =
-                wanted.entrySet().stream()
-                        .filter(one -> one.getValue() > 0 && one.getKey().length() <= MOST_KEY)
+    /**
+     * Takes the demand of a window that has ended, in units by key, and sends it to all members as
+     * this member's report.
+     */
+    public void reportDemand(long window, Map<String, Double> demand) {
+        Map<String, Double> largest =
+                demand.entrySet().stream()
+                        .filter(
+                                entry ->
+                                        entry.getValue() > 0
+                                                && entry.getKey().length() <= MAX_KEY_LENGTH)
                         .sorted(
                                 Map.Entry.<String, Double>comparingByValue()
                                         .reversed()
                                         .thenComparing(Map.Entry.comparingByKey()))
                         .limit(MAX_KEYS)
                         .collect(Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue));
-        Set<String> heard = new HashSet<>(present.keySet());
-        heard.add(self);
-        shares.recordOwnReport(window, heard, most)
-                .ifPresent(report -> Notice.fragmentsOf(report, names).forEach(this::spread));
-        stale |= window <= current - terms.lagWindows();
-        grant();
+        Set<String> alive = new HashSet<>(aliveMembers.keySet());
+        alive.add(self);
+        calculator
+                .recordOwnReport(window, alive, largest)
+                .ifPresent(report -> Notice.fragmentsOf(report, names).forEach(this::broadcast));
+        isStale |= window <= currentWindow - settings.lagWindows();
+        recalculateIfStale();
     }
 
-    /** Takes what another member said, and answers where that is wanted. */
+    /** Takes a notice of another member, and answers it if it is a query. */
     public void receive(Notice notice, A from) {
-        notice.fragments().forEach(this::take);
+        notice.fragments().forEach(this::acceptFragment);
         acceptVerdicts(notice.verdicts());
         if (!notice.heldReports().isEmpty()) {
             answer(notice, from);
         }
-        grant();
+        recalculateIfStale();
     }
 
-    /** Takes verdicts of others. */
+    /**
+     * Takes verdicts of other members; those that come into force are announced and sent on.
+     * Rejects and counts verdicts of issuers that are not in the roster.
+     */
     public void acceptVerdicts(List<Verdict> others) {
         for (Verdict verdict : others) {
-            if (!terms.roster().contains(verdict.issuer())) {
-                strangers++;
+            if (!settings.roster().contains(verdict.issuer())) {
+                rejected++;
             } else if (verdicts.accept(verdict)) {
                 out.verdictAccepted(verdict);
-                spread(verdict);
+                broadcast(verdict);
             }
         }
     }
 
-    /** An operator decided here: all are told, and it holds over a restart once it is kept. */
-    public Verdict issueVerdict(String subject, String word, Instant now) {
-        Verdict verdict = verdicts.issue(subject, word, now);
-        spread(verdict);
+    /**
+     * Issues an operator's verdict at this member and sends it to all. It survives a restart once
+     * the caller has stored it ({@link #verdicts}).
+     */
+    public Verdict issueVerdict(String subject, String action, Instant now) {
+        Verdict verdict = verdicts.issue(subject, action, now);
+        broadcast(verdict);
         return verdict;
     }
 
-    private void spread(Notice.Fragment piece) {
-        for (A to : present.values()) {
-            out.send(to, new Notice(verdicts.digest(), Map.of(), List.of(piece), List.of()));
+    private void broadcast(Fragment fragment) {
+        for (A to : aliveMembers.values()) {
+            out.send(to, new Notice(verdicts.digest(), Map.of(), List.of(fragment), List.of()));
         }
     }
 
-    private void spread(Verdict verdict) {
-        for (A to : present.values()) {
+    private void broadcast(Verdict verdict) {
+        for (A to : aliveMembers.values()) {
             out.send(to, new Notice(verdicts.digest(), Map.of(), List.of(), List.of(verdict)));
         }
     }
 
-    private void take(Notice.Fragment piece) {
-        if (piece.window() < current - terms.lagWindows() - span
-                || piece.window() > current + 1
-                || !terms.roster().contains(piece.name())
-                || piece.count() < 1
-                || piece.count() > MAX_KEYS
-                || piece.index() < 0
-                || piece.index() >= piece.count()) {
-            strangers += terms.roster().contains(piece.name()) ? 0 : 1;
+    private void acceptFragment(Fragment fragment) {
+        if (fragment.window() < currentWindow - settings.lagWindows() - coldSpanWindows
+                || fragment.window() > currentWindow + 1
+                || !settings.roster().contains(fragment.name())
+                || fragment.count() < 1
+                || fragment.count() > MAX_KEYS
+                || fragment.index() < 0
+                || fragment.index() >= fragment.count()) {
+            rejected += settings.roster().contains(fragment.name()) ? 0 : 1;
             return;
         }
-        Map<String, Map<Integer, Notice.Fragment>> window =
-                partial.computeIfAbsent(piece.window(), number -> new HashMap<>());
-        Map<Integer, Notice.Fragment> pieces =
-                window.computeIfAbsent(piece.name(), name -> new TreeMap<>());
-        pieces.putIfAbsent(piece.index(), piece);
-        if (pieces.size() == piece.count()) {
-            Map<String, Double> wanted = new LinkedHashMap<>();
-            pieces.values().forEach(one -> wanted.putAll(one.demand()));
-            shares.addReport(
-                    new Report(piece.name(), piece.window(), heard(piece.aliveBits()), wanted));
-            window.remove(piece.name());
-            stale |= piece.window() <= current - terms.lagWindows();
+        Map<String, Map<Integer, Fragment>> ofWindow =
+                incomplete.computeIfAbsent(fragment.window(), window -> new HashMap<>());
+        Map<Integer, Fragment> fragments =
+                ofWindow.computeIfAbsent(fragment.name(), name -> new TreeMap<>());
+        fragments.putIfAbsent(fragment.index(), fragment);
+        if (fragments.size() == fragment.count()) {
+            Map<String, Double> demand = new LinkedHashMap<>();
+            fragments.values().forEach(each -> demand.putAll(each.demand()));
+            calculator.addReport(
+                    new Report(
+                            fragment.name(),
+                            fragment.window(),
+                            namesOf(fragment.aliveBits()),
+                            demand));
+            ofWindow.remove(fragment.name());
+            isStale |= fragment.window() <= currentWindow - settings.lagWindows();
         }
     }
 
-    private Set<String> heard(long bits) {
+    private Set<String> namesOf(long bits) {
         return IntStream.range(0, names.size())
                 .filter(i -> (bits & 1L << i) != 0)
                 .mapToObj(names::get)
                 .collect(Collectors.toSet());
     }
 
-    private Map<Long, Long> held() {
+    private Map<Long, Long> heldReports() {
         Map<Long, Long> held = new TreeMap<>();
-        for (long window = current - terms.lagWindows(); window < current; window++) {
-            held.put(window, shares.heldReportBits(window, names));
+        for (long window = currentWindow - settings.lagWindows();
+                window < currentWindow;
+                window++) {
+            held.put(window, calculator.heldReportBits(window, names));
         }
         return held;
     }
 
-    /** Whether the sender of a notice names the report's window and does not hold the report. */
-    private boolean lacks(Notice notice, Report report) {
-        return notice.heldReports().containsKey(report.window())
-                && (notice.heldReports().get(report.window()) & 1L << names.indexOf(report.name()))
+    /** Whether the sender of a query asks about the report's window and lacks the report. */
+    private boolean lacks(Notice query, Report report) {
+        return query.heldReports().containsKey(report.window())
+                && (query.heldReports().get(report.window()) & 1L << names.indexOf(report.name()))
                         == 0;
     }
 
-    private void answer(Notice notice, A from) {
-        List<Notice.Fragment> lacking =
-                shares.reportsSince(current - terms.lagWindows()).stream()
-                        .filter(report -> lacks(notice, report))
+    private void answer(Notice query, A from) {
+        List<Fragment> lacking =
+                calculator.reportsSince(currentWindow - settings.lagWindows()).stream()
+                        .filter(report -> lacks(query, report))
                         .sorted(
                                 Comparator.comparingLong(Report::window)
                                         .thenComparing(Report::name))
                         .flatMap(report -> Notice.fragmentsOf(report, names).stream())
-                        .limit(PIECES_AN_ANSWER)
+                        .limit(MAX_FRAGMENTS_PER_ANSWER)
                         .toList();
-        for (Notice.Fragment piece : lacking) {
-            out.send(from, new Notice(verdicts.digest(), Map.of(), List.of(piece), List.of()));
+        for (Fragment fragment : lacking) {
+            out.send(from, new Notice(verdicts.digest(), Map.of(), List.of(fragment), List.of()));
         }
-        if (notice.digest() != verdicts.digest()) {
+        if (query.digest() != verdicts.digest()) {
             List<Verdict> all = verdicts.all();
-            if (all.size() <= VERDICTS_A_NOTICE) {
+            if (all.size() <= MAX_VERDICTS_PER_NOTICE) {
                 out.send(from, new Notice(verdicts.digest(), Map.of(), List.of(), all));
             } else {
-                out.fetchVerdicts(from); // each sees the other's digest, and fetches what it lacks
+                out.fetchVerdicts(from); // each side sees the other's digest and fetches
             }
         }
     }
 
-    /** Reckons anew where a report has come that counts by now, or another window has begun. */
-    private void grant() {
-        if (!stale) {
+    /** Recalculates the shares if a report that counts by now arrived, or a window began. */
+    private void recalculateIfStale() {
+        if (!isStale) {
             return;
         }
-        stale = false;
-        Allocation least = shares.allocation(current);
-        Map<String, Double> parts = new HashMap<>(least.shares());
-        double cold = least.otherVolumeShare();
-        for (long before = current - span; before < current; before++) {
-            Allocation then = shares.allocation(before);
-            Set<String> keys = new TreeSet<>(parts.keySet());
-            keys.addAll(then.shares().keySet());
+        isStale = false;
+        Allocation current = calculator.allocation(currentWindow);
+        Map<String, Double> shares = new HashMap<>(current.shares());
+        double otherColdNodeShare = current.otherVolumeShare();
+        for (long window = currentWindow - coldSpanWindows; window < currentWindow; window++) {
+            Allocation earlier = calculator.allocation(window);
+            Set<String> keys = new TreeSet<>(shares.keySet());
+            keys.addAll(earlier.shares().keySet());
             for (String key : keys) {
-                if (key.startsWith(ShareKey.NODE)) {
-                    parts.put(
+                if (key.startsWith(ShareKey.NODE_PREFIX)) {
+                    shares.put(
                             key,
                             Math.min(
-                                    parts.getOrDefault(key, cold),
-                                    then.shares().getOrDefault(key, then.otherVolumeShare())));
+                                    shares.getOrDefault(key, otherColdNodeShare),
+                                    earlier.shares()
+                                            .getOrDefault(key, earlier.otherVolumeShare())));
                 }
             }
-            cold = Math.min(cold, then.otherVolumeShare());
+            otherColdNodeShare = Math.min(otherColdNodeShare, earlier.otherVolumeShare());
         }
         Allocation next =
                 new Allocation(
-                        current, parts, least.otherVolumeShare(), cold, least.agreedMembers());
-        if (!next.equals(granted)) {
-            granted = next;
+                        currentWindow,
+                        shares,
+                        current.otherVolumeShare(),
+                        otherColdNodeShare,
+                        current.agreedMembers());
+        if (!next.equals(allocation)) {
+            allocation = next;
             out.allocationChanged(next);
         }
     }
 
-    /** What holds in the present window. */
+    /** The shares of the current window. */
     public Allocation allocation() {
-        return granted;
+        return allocation;
     }
 
-    /** All verdicts that hold, for others and for the snapshot. */
+    /** All verdicts in force, to send to other members and for the snapshot. */
     public List<Verdict> verdicts() {
         return verdicts.all();
     }
 
     /**
-     * Reports and verdicts turned away: of names that are not of the roster, or for want of room.
+     * Number of reports and verdicts rejected because of names that are not in the roster, or
+     * because there was no room.
      */
     public long rejected() {
-        return strangers + shares.rejected() + verdicts.rejected();
+        return rejected + calculator.rejected() + verdicts.rejected();
     }
 }
--- a/src/main/java/cypressglade/share/SharingSettings.java
+++ b/src/main/java/cypressglade/share/SharingSettings.java
@@ -6,19 +6,26 @@
 import java.util.Set;
 
 /**
- * What the operators' file says of sharing; the same at every member.
+ * The settings of limit sharing, from the operators' file; they have to be the same at every
+ * member.
  *
- * @param roster names of all members that may ever share, at most {@link #MAX_NAMES}
- * @param floorFraction part of the whole that is dealt out evenly whatever is heard, over 0 and at
- *     most 1
- * @param lagWindows windows after its end that a report has to reach all, at least 1
- * @param windowLength how long one is
+ * @param roster names of all members that may ever share, 1 to {@link #MAX_NAMES}
+ * @param floorFraction the fraction of each limit that is allotted evenly to the whole roster
+ *     whatever is reported, over 0 and at most 1
+ * @param lagWindows windows after its end within which a report has to reach all members, at least
+ *     1
+ * @param windowLength duration of a window, at least a millisecond
  */
 public record SharingSettings(
         Set<String> roster, double floorFraction, int lagWindows, Duration windowLength) {
-    /** A word of bits tells who reported. */
+    /** Longest roster: sets of its members are sent as the bits of a {@code long}. */
     public static final int MAX_NAMES = 64;
 
+    /**
+     * Checks the ranges and copies the roster.
+     *
+     * @throws IllegalArgumentException if a value is out of its range
+     */
     public SharingSettings {
         roster = Set.copyOf(roster);
         if (roster.isEmpty()
@@ -38,22 +45,22 @@
         }
     }
 
-    /** The number of the window that a time lies in. */
+    /** The number of the window that a time lies in; windows are counted from the epoch. */
     public long windowAt(Instant time) {
         return Math.floorDiv(time.toEpochMilli(), windowLength.toMillis());
     }
 
-    /** When a window begins. */
+    /** When the window of this number begins. */
     public Instant windowStart(long number) {
         return Instant.ofEpochMilli(number * windowLength.toMillis());
     }
 
-    /** A member's part where nothing is agreed on. */
+    /** A member's share where there is no agreement. */
     public double minShare() {
         return floorFraction / roster.size();
     }
 
-    /** The names in the one order in which all count them. */
+    /** The roster's names, sorted; their positions are the bits of sets that are sent. */
     List<String> orderedNames() {
         return roster.stream().sorted().toList();
     }
--- a/src/main/java/cypressglade/share/Verdicts.java
+++ b/src/main/java/cypressglade/share/Verdicts.java
@@ -10,41 +10,47 @@
 import java.util.TreeMap;
 
 /**
- * What operators have decided, by what it is about; of two verdicts the later holds, and of two of
- * one time that of the greater member, so that all who have heard the same hold the same in
- * whatever order it came. A verdict is undone by a later one only. Bounded by the number of
- * subjects. Not safe for use by several threads.
+ * The operators' verdicts that are in force, at most one for each subject: a last-writer-wins map.
+ * Of two verdicts on a subject the later one wins, and of two issued at the same time the one whose
+ * issuer has the greater name; so members that received the same verdicts, in whatever order, hold
+ * the same. Only a later verdict undoes a verdict. The number of subjects is bounded. Not safe for
+ * use by several threads.
  */
 public final class Verdicts {
-    /** Of more subjects than nodes and members together, something is wrong. */
-    private static final int MOST_SUBJECTS = 8192;
+    /** More subjects than there can be nodes and members together. */
+    private static final int MAX_SUBJECTS = 8192;
 
-    private static final Comparator<Verdict> LATER =
+    /** 2^64 divided by the golden ratio, which spreads the bits of a product. */
+    private static final long DIGEST_MULTIPLIER = 0x9E3779B97F4A7C15L;
+
+    private static final Comparator<Verdict> BY_PRECEDENCE =
             Comparator.comparing(Verdict::issuedAt)
                     .thenComparing(Verdict::issuer)
                     .thenComparingLong(Verdict::sequence);
 
     private final String self;
     private final Map<String, Verdict> bySubject = new TreeMap<>();
-    private long lastNumber;
-    private long turnedAway;
+    private long lastSequence;
+    private long rejected;
 
     /**
-     * One decision.
+     * One decision of an operator.
      *
      * @param subject such as {@code node s-1} or {@code member scheduler-2}
      * @param action such as {@code exclude}, {@code include}, {@code drain}, {@code evacuate},
      *     {@code activate}
-     * @param issuedAt by the clock of the member that it was given at
-     * @param issuer that member
-     * @param sequence of that member's verdicts, in order
+     * @param issuedAt by the clock of the member at which it was issued, in whole milliseconds
+     * @param issuer name of that member
+     * @param sequence number of the verdict among the issuer's, in increasing order
      */
     public record Verdict(
             String subject, String action, Instant issuedAt, String issuer, long sequence) {}
 
     /**
-     * Verdicts as this member holds them; {@code kept} is what its former life held, from its
-     * snapshot.
+     * Starts with the verdicts that were in force before a restart.
+     *
+     * @param self name of this member
+     * @param kept verdicts from this member's snapshot; empty if there is none
      */
     public Verdicts(String self, Collection<Verdict> kept) {
         this.self = self;
@@ -52,65 +58,70 @@
     }
 
     /**
-     * A verdict given at this member; later than what it holds of the subject, whatever its clock
-     * says.
+     * Issues a verdict at this member. It is later than the one held on the subject, even if this
+     * member's clock is behind.
      */
-    public Verdict issue(String subject, String word, Instant now) {
-        Instant clock =
-                now.truncatedTo(ChronoUnit.MILLIS); // as others hear of it, or two would differ
+    public Verdict issue(String subject, String action, Instant now) {
+        // Verdicts are sent in milliseconds; finer here, this member and the others would differ.
+        Instant clock = now.truncatedTo(ChronoUnit.MILLIS);
         Verdict before = bySubject.get(subject);
-        Instant at =
+        Instant issuedAt =
                 before == null || before.issuedAt().isBefore(clock)
                         ? clock
                         : before.issuedAt().plusMillis(1);
-        Verdict verdict = new Verdict(subject, word, at, self, ++lastNumber);
+        Verdict verdict = new Verdict(subject, action, issuedAt, self, ++lastSequence);
         accept(verdict);
         return verdict;
     }
 
-    /** Takes another's verdict; whether it holds now and did not before. */
+    /**
+     * Merges another member's verdict.
+     *
+     * @return whether it is in force now and was not before
+     */
     public boolean accept(Verdict verdict) {
-        if (verdict.issuer()
-                .equals(self)) { // of this life or of the former one: numbers go on from there
-            lastNumber = Math.max(lastNumber, verdict.sequence());
+        // Also from before a restart: this member's sequence numbers go on from there.
+        if (verdict.issuer().equals(self)) {
+            lastSequence = Math.max(lastSequence, verdict.sequence());
         }
         Verdict before = bySubject.get(verdict.subject());
-        if (before == null && bySubject.size() >= MOST_SUBJECTS) {
-            turnedAway++;
+        if (before == null && bySubject.size() >= MAX_SUBJECTS) {
+            rejected++;
             return false;
         }
-        if (before != null && LATER.compare(verdict, before) <= 0) {
+        if (before != null && BY_PRECEDENCE.compare(verdict, before) <= 0) {
             return false;
         }
         bySubject.put(verdict.subject(), verdict);
         return true;
     }
 
-    /** The verdict that holds on a subject. */
+    /** The verdict in force on a subject. */
     public Optional<Verdict> current(String subject) {
         return Optional.ofNullable(bySubject.get(subject));
     }
 
-    /** All that hold, for others and for the snapshot. */
+    /** All verdicts in force, by subject, to send to other members and for the snapshot. */
     public List<Verdict> all() {
         return List.copyOf(bySubject.values());
     }
 
     /**
-     * A figure that is the same for whoever holds the same, and most likely another for whoever
-     * does not.
+     * A hash of the verdicts in force: equal at members that hold the same, and almost certainly
+     * different otherwise.
      */
     public long digest() {
         long digest = 1;
         for (Verdict verdict : bySubject.values()) {
-            long one = verdict.subject().hashCode() * 31L + verdict.issuedAt().toEpochMilli();
-            digest = digest * 0x9E3779B97F4A7C15L + one * 31 + verdict.issuer().hashCode();
+            long subjectAndTime =
+                    verdict.subject().hashCode() * 31L + verdict.issuedAt().toEpochMilli();
+            digest = digest * DIGEST_MULTIPLIER + subjectAndTime * 31 + verdict.issuer().hashCode();
         }
         return digest;
     }
 
-    /** Verdicts that there was no room for. */
+    /** Number of verdicts rejected because there was no room for another subject. */
     public long rejected() {
-        return turnedAway;
+        return rejected;
     }
 }
--- a/src/main/java/cypressglade/share/package-info.java
+++ b/src/main/java/cypressglade/share/package-info.java
@@ -1,7 +1,8 @@
 /**
- * What a fleet of schedulers shares of limits and verdicts: each member's part of what all may
- * send, which adds up to no more than the whole whatever the links do, and operators' verdicts that
- * all come to agree on. Decides only: what was heard and the time come in as arguments; nothing
- * here does I/O. Bounds and reasons: {@code docs/fleet-limits.md}.
+ * Sharing of limits and verdicts among the schedulers of a fleet: each member's share of each limit
+ * (a volume's limit, a cold node's capacity), where the shares never add up to more than the whole
+ * limit whatever the network does; and operators' verdicts, on which all members come to agree.
+ * Contains decisions only: received messages and the time are passed in as arguments, and nothing
+ * here does I/O, reads a clock or starts threads. Bounds and reasons: {@code docs/fleet-limits.md}.
  */
 package cypressglade.share;
--- a/src/test/java/cypressglade/share/FleetLimitsMeasure.java
+++ b/src/test/java/cypressglade/share/FleetLimitsMeasure.java
@@ -18,24 +18,25 @@
 import java.util.stream.LongStream;
 
 /**
- * {@code make measure-fleet-limits}: what five processes send of one limit while links are whole
- * and while they are split, how soon a verdict is everywhere at 10% loss, what a cold node gets
- * from all, and 10,000 schedules of the model.
+ * {@code make measure-fleet-limits}: what five processes use of one limit with a connected and with
+ * a split network, how soon a verdict reaches all members at 10% loss, what a cold node receives
+ * from all members, and 10,000 fault schedules of the model.
  */
 public final class FleetLimitsMeasure {
     private static final int SCHEDULES = 10_000;
-    private static final int MOST_FAULTS = 16;
+    private static final int MAX_FAULTS = 16;
     private static final int VERDICTS = 60;
     private static final double COLD_MS = 30;
-    private static final Duration SPLIT = Duration.ofSeconds(8);
-    private static final Duration WHOLE = Duration.ofSeconds(6);
+    private static final Duration SPLIT_SPAN = Duration.ofSeconds(8);
+    private static final Duration CONNECTED_SPAN = Duration.ofSeconds(6);
 
     /**
-     * A verdict goes out once, and what is lost comes with the next comparison: within two windows.
+     * A verdict is sent once; if that is lost, it arrives after the next comparison of digests:
+     * within two windows.
      */
-    private static final double MOST_SPREAD_MS = 2.0 * LimitRig.TERMS.windowLength().toMillis();
+    private static final double MAX_SPREAD_MS = 2.0 * LimitRig.SETTINGS.windowLength().toMillis();
 
-    private static final Duration FALL = Duration.ofSeconds(1);
+    private static final Duration COLD_LIMIT_SPAN = Duration.ofSeconds(1);
 
     private final Figures figures = new Figures();
 
@@ -44,99 +45,106 @@
     }
 
     private void run() throws Exception {
-        CompletableFuture<Long> broken = CompletableFuture.supplyAsync(FleetLimitsMeasure::broken);
+        CompletableFuture<Long> violations =
+                CompletableFuture.supplyAsync(FleetLimitsMeasure::violations);
         try (LimitRig rig = new LimitRig(Files.createTempDirectory("limits"), COLD_MS)) {
-            agree(rig, 5, 0, 1, 2, 3, 4);
-            limits(rig);
-            verdicts(rig);
+            awaitAgreement(rig, 5, 0, 1, 2, 3, 4);
+            measureLimits(rig);
+            measureVerdicts(rig);
             figures.atMost(
-                    "cold_overshoot", rig.mostCold(FALL) / (2 * 2 * FALL.toMillis() / COLD_MS), 1);
+                    "cold_overshoot",
+                    rig.maxColdUnits(COLD_LIMIT_SPAN)
+                            / (2 * 2 * COLD_LIMIT_SPAN.toMillis() / COLD_MS),
+                    1);
             figures.say("clients_refused", rig.refused());
         }
         figures.say("schedules_checked", SCHEDULES);
-        figures.atMost("violations", broken.get(), 0);
+        figures.atMost("violations", violations.get(), 0);
         figures.end();
     }
 
-    private void limits(LimitRig rig) throws Exception {
-        rig.surge(1, 12, LimitRig.VOLUME, "basic", 0);
+    private void measureLimits(LimitRig rig) throws Exception {
+        rig.startClients(1, 12, LimitRig.VOLUME, "basic", 0);
         for (int member = 0; member < LimitRig.MEMBERS; member++) {
-            rig.surge(member, 2, LimitRig.OTHER, "standard", 1);
+            rig.startClients(member, 2, LimitRig.OTHER_VOLUME, "standard", 1);
         }
         rig.fleet.pass(Duration.ofSeconds(3));
-        long whole = System.nanoTime();
-        rig.fleet.pass(WHOLE);
-        figures.atLeast("used_whole", rig.used(whole), 0.7); // of it an even part were 0.2
-        figures.atMost("overshoot_whole", rig.overshoot(), LimitRig.SLACK);
-        rig.surge(3, 12, LimitRig.VOLUME, "basic", 0);
-        rig.surge(4, 12, LimitRig.VOLUME, "basic", 0);
+        long connectedFrom = System.nanoTime();
+        rig.fleet.pass(CONNECTED_SPAN);
+        // An even share of the limit would be 0.2.
+        figures.atLeast("used_whole", rig.usedFraction(connectedFrom), 0.7);
+        figures.atMost("overshoot_whole", rig.overshoot(), LimitRig.SLACK_UNITS);
+        rig.startClients(3, 12, LimitRig.VOLUME, "basic", 0);
+        rig.startClients(4, 12, LimitRig.VOLUME, "basic", 0);
         long cut = System.nanoTime();
         rig.fleet.act("0s cut 0,1 2,3,4");
-        rig.fleet.pass(SPLIT);
+        rig.fleet.pass(SPLIT_SPAN);
         figures.say("agreed_among_of_three", rig.agreed(3));
-        figures.say("used_split", rig.used(cut));
+        figures.say("used_split", rig.usedFraction(cut));
         rig.fleet.hub().change(Faults::mend);
-        agree(rig, 5, 0, 1, 2, 3, 4);
+        awaitAgreement(rig, 5, 0, 1, 2, 3, 4);
         rig.fleet.pass(Duration.ofSeconds(2));
-        figures.atMost("overshoot_split", rig.overshoot(cut), LimitRig.SLACK);
-        figures.say("bound_split", LimitRig.SLACK);
+        figures.atMost("overshoot_split", rig.overshoot(cut), LimitRig.SLACK_UNITS);
+        figures.say("bound_split", LimitRig.SLACK_UNITS);
     }
 
-    private void verdicts(LimitRig rig) throws Exception {
+    private void measureVerdicts(LimitRig rig) throws Exception {
         rig.fleet.act("0s loss * * 0.1");
         Random random = new Random(5);
-        List<Long> spread = new ArrayList<>();
+        List<Long> spreadMs = new ArrayList<>();
         for (int i = 0; i < VERDICTS; i++) {
-            String word = i % 2 == 0 ? "exclude" : "include";
+            String action = i % 2 == 0 ? "exclude" : "include";
             long from = System.currentTimeMillis();
-            int giver = random.nextInt(LimitRig.MEMBERS);
-            String answer = rig.fleet.call(giver, word + " s-0");
+            int issuer = random.nextInt(LimitRig.MEMBERS);
+            String answer = rig.fleet.call(issuer, action + " s-0");
             boolean all =
                     answer.startsWith("200")
-                            && rig.until(
+                            && rig.await(
                                     () ->
-                                            taken(rig, from, giver, word).size()
+                                            acceptedAtMs(rig, from, issuer, action).size()
                                                     == LimitRig.MEMBERS - 1);
             if (!all) {
-                throw new IOException(word + " at " + giver + " is not everywhere: " + answer);
+                throw new IOException(
+                        action + " at " + issuer + " did not reach all members: " + answer);
             }
-            spread.add(
-                    taken(rig, from, giver, word).stream()
+            spreadMs.add(
+                    acceptedAtMs(rig, from, issuer, action).stream()
                             .mapToLong(at -> at - from)
                             .max()
                             .orElseThrow());
         }
-        spread.sort(Long::compare);
-        figures.say("verdict_spread_ms_p50", spread.get(VERDICTS / 2));
-        figures.atMost("verdict_spread_ms_p99", spread.get(VERDICTS - 1), MOST_SPREAD_MS);
+        spreadMs.sort(Long::compare);
+        figures.say("verdict_spread_ms_p50", spreadMs.get(VERDICTS / 2));
+        figures.atMost("verdict_spread_ms_p99", spreadMs.get(VERDICTS - 1), MAX_SPREAD_MS);
     }
 
-    /** When each other member took a verdict. */
-    private static List<Long> taken(LimitRig rig, long from, int giver, String word) {
+    /** When each other member accepted a verdict, in milliseconds since the epoch. */
+    private static List<Long> acceptedAtMs(LimitRig rig, long from, int issuer, String action) {
         return rig.fleet.since(from).stream()
-                .filter(event -> event.seenBy() != giver && tellsOfTaken(event.line(), giver, word))
+                .filter(
+                        event ->
+                                event.seenBy() != issuer
+                                        && isAcceptance(event.line(), issuer, action))
                 .map(ProcessFleet.Event::atMs)
                 .toList();
     }
 
-    private static boolean tellsOfTaken(JsonNode line, int giver, String word) {
+    private static boolean isAcceptance(JsonNode line, int issuer, String action) {
         JsonNode verdict = line.path("verdict");
         return line.path("fleet").asText().equals("verdict_taken")
-                && verdict.path("word").asText().equals(word)
-                && verdict.path("by").asText().equals(ProcessFleet.name(giver));
+                && verdict.path("word").asText().equals(action)
+                && verdict.path("by").asText().equals(ProcessFleet.name(issuer));
     }
 
-    private static void agree(LimitRig rig, int among, Integer... members) throws IOException {
-        if (!rig.agree(among, members)) {
-            throw new IOException("no agreement: " + rig.fleet.text());
+    private static void awaitAgreement(LimitRig rig, int among, Integer... members)
+            throws IOException {
+        if (!rig.awaitAgreement(among, members)) {
+            throw new IOException("no agreement on shares: " + rig.fleet.text());
         }
     }
 
-    /**
-     * Of so many seeded schedules of faults, those on which something that is promised did not
-     * hold.
-     */
-    private static long broken() {
+    /** Counts the seeded fault schedules for which the model violated a guarantee. */
+    private static long violations() {
         return LongStream.range(0, SCHEDULES)
                 .parallel()
                 .filter(
@@ -144,7 +152,7 @@
                             Random random = new Random(seed);
                             int members = 1 + random.nextInt(7);
                             List<Fault> faults =
-                                    IntStream.range(0, random.nextInt(MOST_FAULTS + 1))
+                                    IntStream.range(0, random.nextInt(MAX_FAULTS + 1))
                                             .mapToObj(i -> fault(random, members))
                                             .toList();
                             return !ShareLab.play(members, faults, seed).holds();
--- a/src/test/java/cypressglade/share/LimitRig.java
+++ b/src/test/java/cypressglade/share/LimitRig.java
@@ -23,14 +23,15 @@
 import java.util.stream.IntStream;
 
 /**
- * Five processes of the program that share the limit of a plan, fault links between them, two
- * storage nodes (one warm, one that has just started), and clients that ask for far more than the
- * limit. What the nodes were sent is held against one store of the whole limit.
+ * A fleet for tests: five processes of the program that share the limit of a plan, links with
+ * faults between them, two storage nodes (one warm, one that has just started), and clients whose
+ * demand far exceeds the limit. What the nodes received is checked against one token bucket of the
+ * whole limit.
  */
 final class LimitRig implements AutoCloseable {
     static final int MEMBERS = 5;
     static final Duration PERIOD = Duration.ofMillis(200);
-    static final SharingSettings TERMS =
+    static final SharingSettings SETTINGS =
             new SharingSettings(
                     IntStream.range(0, MEMBERS)
                             .mapToObj(ProcessFleet::name)
@@ -39,39 +40,45 @@
                     2,
                     Duration.ofMillis(500));
 
-    /** Units a second, and at once. */
-    static final double RATE = 200;
+    /** The refill rate of the limit. */
+    static final double LIMIT_UNITS_PER_S = 200;
 
-    static final double BURST = 100;
+    /** The capacity of the limit's token bucket. */
+    static final double BURST_UNITS = 100;
 
-    /** As the pages have it: what the limit allows in 150 ms, and one of the largest requests. */
-    static final double SLACK = RATE * 0.15 + 6;
+    /**
+     * Tolerated excess, as documented for operators: what the limit allows in 150 ms, plus one of
+     * the largest requests.
+     */
+    static final double SLACK_UNITS = LIMIT_UNITS_PER_S * 0.15 + 6;
 
     static final String VOLUME = "00000000000000aa";
-    static final String OTHER = "00000000000000bb";
-    static final Duration WAIT = Duration.ofSeconds(30);
-    private static final int EXPIRES_MS = 900;
+    static final String OTHER_VOLUME = "00000000000000bb";
+    static final Duration TIMEOUT = Duration.ofSeconds(30);
+    private static final int EXPIRY_MS = 900;
 
     final StorageNode warm = new StorageNode(0.2, false);
     final StorageNode cold;
     final ProcessFleet fleet;
-    private final AtomicBoolean over = new AtomicBoolean();
+    private final AtomicBoolean isClosed = new AtomicBoolean();
     private final AtomicLong refused = new AtomicLong();
     private final List<Thread> threads = new ArrayList<>();
 
     /**
-     * @param coldMs a unit at the cold node, which starts now
+     * Starts the processes and the nodes.
+     *
+     * @param coldMs milliseconds that a unit takes at the cold node, which starts now
      */
-    LimitRig(Path folder, double coldMs) throws Exception {
+    LimitRig(Path directory, double coldMs) throws Exception {
         cold = new StorageNode(coldMs, false);
         String entries =
                 Site.entry(0, warm.hostPort(), "active", 0)
                         + ","
                         + Site.entry(1, cold.hostPort(), "active", System.currentTimeMillis());
-        String limits = "\"neverOver\":" + RATE + ",\"limitBurst\":" + BURST;
+        String limits = "\"neverOver\":" + LIMIT_UNITS_PER_S + ",\"limitBurst\":" + BURST_UNITS;
         fleet =
                 new ProcessFleet(
-                        folder,
+                        directory,
                         MEMBERS,
                         PERIOD,
                         23,
@@ -79,19 +86,19 @@
                                 text.replace(Site.entry(0, "127.0.0.1:10801", "active", 0), entries)
                                         .replace("\"balancers\":1", "\"balancers\":" + MEMBERS)
                                         .replace("\"neverOver\":1,\"limitBurst\":8", limits),
-                        Optional.of(TERMS));
+                        Optional.of(SETTINGS));
         fleet.act("0s delay * * 1ms..20ms");
         fleet.startAll(MEMBERS);
     }
 
-    /** How many members the parts of a member are agreed among now; 0 where all have floors. */
+    /** Among how many members the shares of a member are agreed now; 0 if it has only floors. */
     int agreed(int member) throws IOException {
         return fleet.view(member).path("limits").path("agreed_among").asInt();
     }
 
-    /** Waits until the members given are agreed among so many. */
-    boolean agree(int among, Integer... members) throws IOException {
-        return until(
+    /** Waits until these members have shares agreed among so many; false after {@link #TIMEOUT}. */
+    boolean awaitAgreement(int among, Integer... members) throws IOException {
+        return await(
                 () -> {
                     try {
                         for (int member : members) {
@@ -106,10 +113,10 @@
                 });
     }
 
-    /** Waits for something that is bound to come. */
-    boolean until(BooleanSupplier come) {
-        long end = System.nanoTime() + WAIT.toNanos();
-        while (!come.getAsBoolean()) {
+    /** Waits for a condition; false if it does not hold within {@link #TIMEOUT}. */
+    boolean await(BooleanSupplier condition) {
+        long end = System.nanoTime() + TIMEOUT.toNanos();
+        while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
                 return false;
             }
@@ -119,29 +126,32 @@
     }
 
     /**
-     * From now on so many clients of a member ask for one unit after the other, until it is closed.
+     * Starts clients of a member, each of which requests one unit after the other until this is
+     * closed.
      */
-    void surge(int member, int clients, String volume, String tier, int shard) {
+    void startClients(int member, int clients, String volume, String tier, int shard) {
         for (int i = 0; i < clients; i++) {
             Thread thread =
-                    new Thread(() -> ask(member, volume, tier, shard), "client of " + member);
+                    new Thread(
+                            () -> requestUntilClosed(member, volume, tier, shard),
+                            "client of " + member);
             thread.setDaemon(true);
             thread.start();
             threads.add(thread);
         }
     }
 
-    private void ask(int member, String volume, String tier, int shard) {
+    private void requestUntilClosed(int member, String volume, String tier, int shard) {
         long key = (long) member << 32 | Thread.currentThread().getId() << 20;
-        while (!over.get()) {
+        while (!isClosed.get()) {
             InetSocketAddress at = fleet.clients(member);
             try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
-                socket.setSoTimeout(2 * EXPIRES_MS);
+                socket.setSoTimeout(2 * EXPIRY_MS);
                 DataInputStream in = new DataInputStream(socket.getInputStream());
-                while (!over.get()) {
+                while (!isClosed.get()) {
                     String path = "/job-read/" + volume + "/" + String.format("%016x", ++key);
                     String cost = "units=1,shard=" + shard + ",hosts=" + MEMBERS;
-                    String headers = Site.headers(EXPIRES_MS, tier, cost);
+                    String headers = Site.headers(EXPIRY_MS, tier, cost);
                     String request = Site.request("GET", path, headers, "");
                     socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
                     if (HttpPeer.Message.read(in).status() != 200) {
@@ -150,7 +160,7 @@
                     }
                 }
             } catch (IOException gone) {
-                // its member was ended; the next one listens elsewhere
+                // its member was ended; the next process listens on another port
                 fleet.pass(Duration.ofMillis(50));
             }
         }
@@ -160,82 +170,86 @@
         return refused.get();
     }
 
-    /** What came for the limited volume since a time, oldest first. */
-    List<StorageNode.Arrival> sent(long sinceNanos) {
+    /** The arrivals at both nodes for the limited volume since a time, oldest first. */
+    List<StorageNode.Arrival> arrivals(long sinceNanos) {
         return List.of(warm, cold).stream()
                 .flatMap(node -> node.arrivals.stream())
-                .filter(one -> one.volume().equals(VOLUME) && one.nanos() >= sinceNanos)
+                .filter(arrival -> arrival.volume().equals(VOLUME) && arrival.nanos() >= sinceNanos)
                 .sorted(Comparator.comparingLong(StorageNode.Arrival::nanos))
                 .toList();
     }
 
-    /** Most units sent, in any span, beyond one store of the limit that was full at its start. */
+    /**
+     * Most units sent, in any span of time, beyond one token bucket of the limit, full at first.
+     */
     double overshoot() {
         return overshoot(Long.MIN_VALUE);
     }
 
-    /** The same, of spans since a time. */
+    /** The same, counting from a time on, with a full bucket then. */
     double overshoot(long sinceNanos) {
-        double level = BURST;
-        double least = BURST;
+        double level = BURST_UNITS;
+        double lowest = BURST_UNITS;
         long at = Long.MIN_VALUE;
-        for (StorageNode.Arrival one : sent(sinceNanos)) {
+        for (StorageNode.Arrival arrival : arrivals(sinceNanos)) {
             level =
                     at == Long.MIN_VALUE
-                            ? BURST
-                            : Math.min(BURST, level + RATE * (one.nanos() - at) / 1e9);
-            at = one.nanos();
-            level -= one.units();
-            least = Math.min(least, level);
+                            ? BURST_UNITS
+                            : Math.min(
+                                    BURST_UNITS,
+                                    level + LIMIT_UNITS_PER_S * (arrival.nanos() - at) / 1e9);
+            at = arrival.nanos();
+            level -= arrival.units();
+            lowest = Math.min(lowest, level);
         }
-        return -least;
+        return -lowest;
     }
 
-    /** Units a second sent since a time, in parts of the limit. */
-    double used(long sinceNanos) {
-        return sent(sinceNanos).stream().mapToDouble(StorageNode.Arrival::units).sum()
+    /** Units sent per second since a time, as a fraction of the limit. */
+    double usedFraction(long sinceNanos) {
+        return arrivals(sinceNanos).stream().mapToDouble(StorageNode.Arrival::units).sum()
                 / ((System.nanoTime() - sinceNanos) / 1e9)
-                / RATE;
+                / LIMIT_UNITS_PER_S;
     }
 
-    /** Most units that the cold node got in any span. */
-    double mostCold(Duration span) {
+    /** Most units that the cold node received in any span of this length. */
+    double maxColdUnits(Duration span) {
         List<StorageNode.Arrival> all =
                 cold.arrivals.stream()
                         .sorted(Comparator.comparingLong(StorageNode.Arrival::nanos))
                         .toList();
-        double most = 0;
+        double max = 0;
         double sum = 0;
         int from = 0;
-        for (StorageNode.Arrival one : all) {
-            sum += one.units();
-            while (all.get(from).nanos() <= one.nanos() - span.toNanos()) {
+        for (StorageNode.Arrival arrival : all) {
+            sum += arrival.units();
+            while (all.get(from).nanos() <= arrival.nanos() - span.toNanos()) {
                 sum -= all.get(from++).units();
             }
-            most = Math.max(most, sum);
+            max = Math.max(max, sum);
         }
-        return most;
+        return max;
     }
 
-    /** Whether a member holds a verdict with that word on a subject. */
-    boolean holds(int member, String subject, String word) throws IOException {
+    /** Whether the verdict that a member holds on a subject has this action. */
+    boolean holdsVerdict(int member, String subject, String action) throws IOException {
         for (var verdict : fleet.view(member).path("verdicts")) {
             if (verdict.path("subject").asText().equals(subject)) {
-                return verdict.path("word").asText().equals(word);
+                return verdict.path("word").asText().equals(action);
             }
         }
         return false;
     }
 
-    /** Waits until all members given hold it. */
-    boolean allHold(Set<Integer> members, String subject, String word) {
-        return until(
+    /** Waits until all these members hold it; false after {@link #TIMEOUT}. */
+    boolean awaitVerdict(Set<Integer> members, String subject, String action) {
+        return await(
                 () ->
                         members.stream()
                                 .allMatch(
                                         member -> {
                                             try {
-                                                return holds(member, subject, word);
+                                                return holdsVerdict(member, subject, action);
                                             } catch (IOException notYet) {
                                                 return false;
                                             }
@@ -244,7 +258,7 @@
 
     @Override
     public void close() throws IOException {
-        over.set(true);
+        isClosed.set(true);
         fleet.close();
         warm.close();
         cold.close();
--- a/src/test/java/cypressglade/share/SharingTest.java
+++ b/src/test/java/cypressglade/share/SharingTest.java
@@ -22,8 +22,8 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * Parts that never add up to more than the whole, and verdicts that come to agree, whatever the
- * links do.
+ * Shares never add up to more than the whole limit, and all members come to hold the same verdicts,
+ * whatever the network does.
  */
 class SharingTest {
     private static final double ROUNDING = 1e-9;
@@ -42,9 +42,9 @@
                 .ofMaxSize(16);
     }
 
-    /** A failure is reduced by jqwik to the fewest and shortest faults that still show it. */
+    /** jqwik shrinks a failing schedule to the fewest and shortest faults that still fail. */
     @Property(tries = 2000, seed = "20261201")
-    void noScheduleOvershootsAndEachSettles(
+    void noFaultScheduleExceedsTheLimitAndAllMembersAgreeAfterwards(
             @ForAll @IntRange(min = 1, max = 7) int members,
             @ForAll("faults") List<Fault> faults,
             @ForAll long seed) {
@@ -72,7 +72,7 @@
     }
 
     @Example
-    void thoseWhoAgreeShareByDemandAndTheRestHaveTheirFloor() {
+    void agreeingMajoritySharesByDemandAndOthersGetTheFloor() {
         Set<String> side = Set.of("a", "b", "c");
         ShareCalculator a = shares("a");
         ShareCalculator e = shares("e");
@@ -87,12 +87,12 @@
         }
         assertThat(a.share("v", 6)).isEqualTo(0.05 + 0.75 * 6 / 8, offset(ROUNDING));
         assertThat(a.share("other", 6)).isEqualTo(0.05 + 0.75 / 3, offset(ROUNDING));
-        assertThat(a.share("v", 7)).as("nothing is known of that window").isEqualTo(0.05);
-        assertThat(e.share("v", 6)).as("two of five").isEqualTo(0.05);
+        assertThat(a.share("v", 7)).as("no reports of that window").isEqualTo(0.05);
+        assertThat(e.share("v", 6)).as("two of five are no majority").isEqualTo(0.05);
     }
 
     @Example
-    void oneReportThatLacksOrDiffersLeavesTheFloor() {
+    void missingOrDifferingReportLeavesOnlyTheFloor() {
         ShareCalculator a = shares("a");
         Set<String> side = Set.of("a", "b", "c");
         a.addReport(report("a", side, 6));
@@ -100,29 +100,32 @@
         assertThat(a.share("v", 6)).isEqualTo(0.05);
         a.addReport(report("c", ROSTER, 2));
         assertThat(a.share("v", 6)).isEqualTo(0.05);
-        a.addReport(report("c", side, 2)); // the first of a member and window holds
+        a.addReport(report("c", side, 2)); // the first report of a member and window stays
         assertThat(a.share("v", 6)).isEqualTo(0.05);
         a.addReport(new Report("x", 5, side, Map.of()));
         assertThat(a.rejected()).isEqualTo(1);
     }
 
-    /** Guards against a window that counts twice: the former life may have told it already. */
+    /**
+     * Guards against a window that counts twice: before a restart the member may have sent a report
+     * of the window already, with other content.
+     */
     @Example
-    void aRestartReportsNoWindowThatItsFormerLifeMayHave() {
+    void restartedMemberReportsNoWindowThatItMayHaveReportedBefore() {
         ShareCalculator again = new ShareCalculator("a", ROSTER, 0.25, 1, 5);
         assertThat(again.recordOwnReport(5, ROSTER, Map.of())).isEmpty();
         assertThat(again.recordOwnReport(6, ROSTER, Map.of())).isPresent();
     }
 
     @Example
-    void laterVerdictHoldsOverARestartAndASlowClock() {
+    void laterVerdictWinsDespiteARestartAndASlowClock() {
         Verdicts a = new Verdicts("a", List.of());
         Verdict exclude = a.issue("node s-1", "exclude", Instant.ofEpochSecond(9));
         Verdicts b = new Verdicts("b", List.of());
         assertThat(b.accept(exclude)).isTrue();
         assertThat(b.accept(exclude)).isFalse();
-        Verdict include =
-                b.issue("node s-1", "include", Instant.ofEpochSecond(3)); // its clock is behind
+        // later, although the clock of b is behind
+        Verdict include = b.issue("node s-1", "include", Instant.ofEpochSecond(3));
         assertThat(a.accept(include)).isTrue();
         assertThat(a.accept(exclude)).isFalse();
         Verdicts again = new Verdicts("a", a.all());
