--- a/src/main/java/cypressglade/fleet/Bounds.java
+++ b/src/main/java/cypressglade/fleet/Bounds.java
@@ -5,38 +5,49 @@
 import java.time.Duration;
 
 /**
- * The bounds that the fleet's view keeps, by arithmetic from the figures that the protocol runs by;
- * the reasons are in {@code docs/fleet-view.md}. All hold for messages that arrive, or are lost one
- * by one, and for processes that run; a machine so busy that processes stand still for periods adds
- * those.
+ * Upper bounds of the times in which the fleet's views converge, and of the traffic, calculated
+ * from the protocol's settings; {@code docs/fleet-view.md} gives the reasons. They hold for
+ * messages that arrive or are lost independently, and for processes that run: on a machine so busy
+ * that processes stand still for whole periods, those periods come on top.
  *
- * @param timing the protocol's figures
- * @param members of the fleet, this one included
+ * @param timing the protocol's settings
+ * @param members of the fleet, this one included, at least 1
  */
 public record Bounds(Timing timing, int members) {
-    /** Of the whole, by how much the real rig and the model may differ; the page says why. */
-    public static final double AGREE = 0.5;
+    /**
+     * By what fraction results of real processes may lie outside of the model's range; {@code
+     * docs/fleet-view.md} says why.
+     */
+    public static final double MODEL_TOLERANCE_FRACTION = 0.5;
+
+    /**
+     * Datagrams for one helper of an indirect probe: the request, its ping, the ack, and its
+     * answer.
+     */
+    private static final int DATAGRAMS_PER_HELPER = 4;
 
-    /** Datagrams that a helper costs: the asking, its ping, the ack, and its own answer. */
-    private static final int OF_A_HELPER = 4;
+    private static final int PINGS_PER_PROBE = 3;
 
-    private static final int PINGS = 3;
-    private static final int NEWS_A_PERIOD = 16;
+    /** Two messages a period, each with 8 updates. */
+    private static final int UPDATES_PER_PERIOD = 16;
 
     /**
-     * From a crash to every live member holding the dead one for dead: a period until somebody
-     * pings it and one until that probe has failed, the suspicion that nobody shares, and the news'
-     * way there twice.
+     * Time from a crash until every live member holds the crashed one dead: a period until a member
+     * pings it, a period until that probe has failed, the suspicion timeout without confirmation by
+     * others, and twice the time of one dissemination.
      */
     public Duration detectionTime() {
         return timing.period().multipliedBy(2L + 2L * rounds()).plus(timing.suspicion(members, 0));
     }
 
     /**
-     * From a split to each side holding all of the other dead: the probes of a side of {@code side}
-     * members, each as late as a slow member's, come to every one that is lost within its round or,
-     * where many probe, within the draws that it takes to meet them all; then as for one that
-     * crashed.
+     * Time from a network split until each side holds all members of the other side dead. The
+     * probes of a side reach every lost member within one round of its probe order or, if many
+     * members probe, within the random draws that it takes to meet all of them (coupon collector);
+     * each probe may take as long as at a member with the worst local health. Then the time as for
+     * one crash follows.
+     *
+     * @param side number of members on the probing side
      */
     public Duration splitDetectionTime(int side) {
         double probes =
@@ -47,35 +58,40 @@
     }
 
     /**
-     * From a heal to one view: a knock at one that was lost, its answer and the exchange of whole
-     * lists, the doubt's way to whom it is about, and the way of that one's own word to all. Each
-     * way takes twice the rounds where one side is large: half of the messages go to who knows
-     * already. Each member has to hear the new incarnation of every other: so many pieces of news,
-     * of which two messages a period bring 8 each.
+     * Time from the end of a split until all members have one view: a reconnect attempt to a lost
+     * member, its answer and the exchange of complete member lists, dissemination of the suspicion
+     * to the suspected member, and of its refutation to all. Each dissemination takes twice the
+     * rounds if one side is large, because half of the messages go to members that already know.
+     * Each member has to learn the new incarnation of every other one: as many updates as members,
+     * of which two messages a period carry 8 each.
      */
     public Duration healTime() {
-        long news = (members + NEWS_A_PERIOD - 1) / NEWS_A_PERIOD;
+        long updatePeriods = (members + UPDATES_PER_PERIOD - 1) / UPDATES_PER_PERIOD;
         return timing.reconnect()
                 .plus(timing.answer().multipliedBy(2))
-                .plus(timing.period().multipliedBy(1L + 4L * rounds() + news));
+                .plus(timing.period().multipliedBy(1L + 4L * rounds() + updatePeriods));
     }
 
     /**
-     * Datagrams that a member sends in a period at most, in the mean: its ping and the acks of
-     * those that came to it, a second and a third ping where the ones before or their acks were
-     * lost, and then its helpers'.
+     * Upper bound of the mean number of datagrams that a member sends in a period: its ping and the
+     * acks of the pings that it receives, a second and a third ping if the ones before or their
+     * acks were lost, and then the datagrams of its helpers.
      *
-     * @param loss of each way
-     * @param absent share of probes that go to a member that does not answer at all
+     * @param loss fraction of datagrams lost in each direction, 0 to 1
+     * @param absent fraction of probes that go to a member that does not answer at all, 0 to 1
      */
     public double messagesPerPeriod(double loss, double absent) {
-        double way = 1 - loss;
-        double second = 1 - way * way;
+        double delivered = 1 - loss;
+        double second = 1 - delivered * delivered;
         double third = second * second;
-        double answered = (1 + way) * (1 + second + third) + third * timing.helpers() * OF_A_HELPER;
-        return (1 - absent) * answered + absent * (PINGS + way + timing.helpers() * OF_A_HELPER);
+        double answered =
+                (1 + delivered) * (1 + second + third)
+                        + third * timing.helpers() * DATAGRAMS_PER_HELPER;
+        return (1 - absent) * answered
+                + absent * (PINGS_PER_PROBE + delivered + timing.helpers() * DATAGRAMS_PER_HELPER);
     }
 
+    /** Rounds of gossip that one dissemination takes. */
     private int rounds() {
         return Timing.log(members);
     }
--- a/src/main/java/cypressglade/fleet/View.java
+++ b/src/main/java/cypressglade/fleet/View.java
@@ -18,81 +18,92 @@
 import java.util.stream.Collectors;
 
 /**
- * What one member sees of the fleet, kept from the changes that its membership tells, and written
- * as one line of JSON: for the log at each change ({@link #recordChange}), and whole for whoever
- * asks ({@link #toJson}).
+ * One member's view of the fleet, kept from the changes that its membership protocol reports, and
+ * written as JSON: one line for the log at each change ({@link #recordChange}), and the whole view
+ * on request ({@link #toJson}).
  *
- * <p>A member that goes from present (alive or suspect) to absent (dead or left) and back again
- * counts as a flap. Keeps a row for each member that the membership knows, and forgets it with
- * {@link #retain}. Not safe for use by several threads.
+ * <p>A member that goes from present (alive or suspect) to absent (dead or left) and back counts as
+ * a flap. There is an entry for each member that the protocol knows, until {@link #retain} drops
+ * it. Not safe for use by several threads.
  */
 public final class View {
     /**
-     * Refused names that are remembered, so that each is logged once; beyond that all are
-     * forgotten.
+     * Most refused names that are remembered so that each is logged once; then all are forgotten.
      */
-    private static final int MOST_REFUSALS = 64;
+    private static final int MAX_LOGGED_REFUSALS = 64;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final String self;
-    private final Map<String, Seen> seen = new TreeMap<>();
-    private final Set<String> refused = new HashSet<>();
-    private Instant changed;
+    private final Map<String, Entry> entries = new TreeMap<>();
+    private final Set<String> loggedRefusals = new HashSet<>();
+    private Instant lastChange;
     private long changes;
     private long flaps;
 
-    /** What is known of one other member: since when, and how often it came back from absent. */
-    private record Seen(Member member, Instant since, int flaps) {}
+    /**
+     * What is known of one other member.
+     *
+     * @param since when its state was recorded
+     * @param flaps how often it came back from absent
+     */
+    private record Entry(Member member, Instant since, int flaps) {}
 
-    /** The view of the member of this name, which starts at {@code now} knowing nobody. */
+    /** Creates the view of the member of this name, which starts now and knows no others. */
     public View(String self, Instant now) {
         this.self = self;
-        changed = now;
+        lastChange = now;
     }
 
-    /** Takes a change of what is known of a member; the change as one line of JSON. */
+    /**
+     * Records a changed state of a member.
+     *
+     * @return the change as one line of JSON
+     */
     public String recordChange(Member member, Instant now) {
-        Seen before = seen.get(member.name());
-        boolean flap = before != null && !before.member.present() && member.present();
-        flaps += flap ? 1 : 0;
+        Entry before = entries.get(member.name());
+        boolean isFlap = before != null && !before.member.present() && member.present();
+        flaps += isFlap ? 1 : 0;
         changes++;
-        changed = now;
-        Seen after = new Seen(member, now, (before == null ? 0 : before.flaps) + (flap ? 1 : 0));
-        seen.put(member.name(), after);
-        ObjectNode line = line("change", now);
-        line.set("member", entry(after, now));
-        line.set("counts", counts());
+        lastChange = now;
+        Entry after =
+                new Entry(member, now, (before == null ? 0 : before.flaps) + (isFlap ? 1 : 0));
+        entries.put(member.name(), after);
+        ObjectNode line = newLine("change", now);
+        line.set("member", json(after, now));
+        line.set("counts", countsByState());
         return line.toString();
     }
 
     /**
-     * Word of {@code claim} was refused, as its name is in use by {@code known}; as one line of
-     * JSON, or nothing where these two were told of before: who is refused comes again with each
-     * message.
+     * Records that {@code claim} was refused because {@code known}, another process, uses the same
+     * name.
+     *
+     * @return the refusal as one line of JSON; empty if it was returned before for these two, as a
+     *     refused process shows up again with each of its messages
      */
     public String recordRefusal(Member known, Member claim, Instant now) {
-        if (refused.size() >= MOST_REFUSALS) {
-            refused.clear();
+        if (loggedRefusals.size() >= MAX_LOGGED_REFUSALS) {
+            loggedRefusals.clear();
         }
-        if (!refused.add(known.name() + " " + known.life() + " " + claim.life())) {
+        if (!loggedRefusals.add(known.name() + " " + known.life() + " " + claim.life())) {
             return "";
         }
-        ObjectNode line = line("name_refused", now);
-        line.set("known", entry(new Seen(known, now, 0), now));
-        line.set("claim", entry(new Seen(claim, now, 0), now));
+        ObjectNode line = newLine("name_refused", now);
+        line.set("known", json(new Entry(known, now, 0), now));
+        line.set("claim", json(new Entry(claim, now, 0), now));
         return line.put("remedy", "give one of the two processes another name in its fleet file")
                 .toString();
     }
 
     /**
-     * The whole view, as JSON: this member with its incarnation and health, each other member with
-     * its state and for how long it has held it, counts by state, changes and flaps since the
-     * start, and for how long no change has come ({@code settled_ms}).
+     * The whole view: this member with its incarnation and local health; every other member with
+     * its state and for how long it has had it; counts by state; changes and flaps since the start;
+     * and for how long there was no change ({@code settled_ms}).
      */
     public ObjectNode toJson(Swim swim, Instant now) {
         ObjectNode line =
-                line("view", now)
+                newLine("view", now)
                         .put("incarnation", swim.self().incarnation())
                         .put("life", Long.toHexString(swim.self().life()))
                         .put("health", swim.health().score())
@@ -100,49 +111,51 @@
                         .put("names_refused", swim.namesRefused())
                         .put("changes", changes)
                         .put("flaps", flaps)
-                        .put("settled_ms", Duration.between(changed, now).toMillis());
-        line.set("counts", counts());
-        ArrayNode others = line.putArray("members");
-        seen.values().forEach(one -> others.add(entry(one, now)));
+                        .put("settled_ms", Duration.between(lastChange, now).toMillis());
+        line.set("counts", countsByState());
+        ArrayNode members = line.putArray("members");
+        entries.values().forEach(entry -> members.add(json(entry, now)));
         return line;
     }
 
-    /** Forgets whom the membership no longer knows. */
+    /** Drops the entries of all members but these, which the membership protocol still knows. */
     public void retain(List<Member> members) {
-        seen.keySet().retainAll(members.stream().map(Member::name).collect(Collectors.toSet()));
+        entries.keySet().retainAll(members.stream().map(Member::name).collect(Collectors.toSet()));
     }
 
-    private ObjectNode line(String kind, Instant now) {
+    private ObjectNode newLine(String kind, Instant now) {
         return JSON.createObjectNode()
                 .put("fleet", kind)
                 .put("self", self)
                 .put("at_ms", now.toEpochMilli());
     }
 
-    private ObjectNode counts() {
+    private ObjectNode countsByState() {
         ObjectNode counts = JSON.createObjectNode();
         for (State state : State.values()) {
             counts.put(
-                    lower(state),
-                    seen.values().stream().filter(one -> one.member.state() == state).count());
+                    lowerCase(state),
+                    entries.values().stream()
+                            .filter(entry -> entry.member.state() == state)
+                            .count());
         }
         return counts;
     }
 
-    private static ObjectNode entry(Seen one, Instant now) {
-        Member member = one.member;
-        InetSocketAddress at = member.address();
+    private static ObjectNode json(Entry entry, Instant now) {
+        Member member = entry.member;
+        InetSocketAddress address = member.address();
         return JSON.createObjectNode()
                 .put("name", member.name())
-                .put("address", at.getHostString() + ":" + at.getPort())
+                .put("address", address.getHostString() + ":" + address.getPort())
                 .put("incarnation", member.incarnation())
                 .put("life", Long.toHexString(member.life()))
-                .put("state", lower(member.state()))
-                .put("since_ms", Duration.between(one.since, now).toMillis())
-                .put("flaps", one.flaps);
+                .put("state", lowerCase(member.state()))
+                .put("since_ms", Duration.between(entry.since, now).toMillis())
+                .put("flaps", entry.flaps);
     }
 
-    private static String lower(State state) {
+    private static String lowerCase(State state) {
         return state.name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/test/java/cypressglade/fleet/FleetViewMeasure.java
+++ b/src/test/java/cypressglade/fleet/FleetViewMeasure.java
@@ -18,41 +18,48 @@
 import java.util.stream.LongStream;
 
 /**
- * {@code make measure-fleet-view}: the view's four figures from real processes at 5 and 9 members
- * behind fault links, and from the model at 5, 9 and 1,000, all at once; held against {@link
- * Bounds}, and against each other.
+ * {@code make measure-fleet-view}: detection time, heal time, false deaths and traffic of the
+ * fleet's view, from 5 and 9 real processes with network faults and from the model with 5, 9 and
+ * 1,000 members, all at once; checked against {@link Bounds} and against each other.
  */
 public final class FleetViewMeasure {
     private static final Timing TIMING = Timing.every(Duration.ofMillis(200));
 
-    /** As the standard one, with room for a thousand. */
-    private static final Timing LARGE =
+    /** The standard proportions, with room for a thousand members. */
+    private static final Timing LARGE_TIMING =
             new Timing(
                     TIMING.period(), TIMING.answer(), TIMING.helpers(), 2048, TIMING.reconnect());
 
     private static final int SEEDS = 200;
     private static final int LARGE_SIZE = 1000;
-    private static final Duration SPLIT = Duration.ofSeconds(8);
-    private static final Duration LOSS_REAL = Duration.ofSeconds(10);
-    private static final Duration LOSS_MODEL = Duration.ofSeconds(20);
-    private static final Duration STALL = Duration.ofMillis(400);
-    private static final double LOSS = 0.1;
+    private static final Duration SPLIT_SPAN = Duration.ofSeconds(8);
+    private static final Duration REAL_LOSS_SPAN = Duration.ofSeconds(10);
+    private static final Duration MODEL_LOSS_SPAN = Duration.ofSeconds(20);
+    private static final Duration STALL_SPAN = Duration.ofMillis(400);
+    private static final double LOSS_FRACTION = 0.1;
 
-    /** Of the probes in the lossy span, those that meet the member that stands still, at most. */
-    private static final double ABSENT = 0.05;
+    /** Most of the probes in the span with loss that go to the stalled member, as a fraction. */
+    private static final double ABSENT_FRACTION = 0.05;
 
-    private static final Duration WAIT = Duration.ofSeconds(20);
-    private static final String DELAY = "0s delay * * 1ms..20ms";
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
+    private static final String DELAY_STEP = "0s delay * * 1ms..20ms";
 
     private final Figures figures = new Figures();
 
-    /** What one size gave: times in milliseconds, most of all where there are few. */
-    private record Found(List<Long> detect, List<Long> heal, long falseDead, double messages) {
-        long detectMost() {
+    /**
+     * The results of one fleet size.
+     *
+     * @param detect sorted detection times in milliseconds
+     * @param heal sorted heal times in milliseconds
+     * @param falseDead how often a live member was held dead
+     * @param messages datagrams a member and period
+     */
+    private record Results(List<Long> detect, List<Long> heal, long falseDead, double messages) {
+        long detectP99() {
             return p99(detect);
         }
 
-        long healMost() {
+        long healP99() {
             return p99(heal);
         }
     }
@@ -62,46 +69,47 @@
     }
 
     private void run() throws Exception {
-        CompletableFuture<Found> model =
-                CompletableFuture.supplyAsync(() -> model(LARGE, LARGE_SIZE, 1));
+        CompletableFuture<Results> model =
+                CompletableFuture.supplyAsync(() -> model(LARGE_TIMING, LARGE_SIZE, 1));
         List<Integer> sizes = List.of(5, 9);
-        List<CompletableFuture<Found>> real =
+        List<CompletableFuture<Results>> real =
                 sizes.stream()
                         .map(size -> CompletableFuture.supplyAsync(() -> real(size)))
                         .toList();
         for (int i = 0; i < sizes.size(); i++) {
             int size = sizes.get(i);
-            Found ran = real.get(i).get();
-            Found played = model(TIMING, size, SEEDS);
-            say("real_" + size, size, ran);
-            say("model_" + size, size, played);
-            // Both seldom meet their worst: the real ones' most lies in the model's range, widened
-            // by the margin.
-            within("detect_agrees_" + size, ran.detect, played.detect);
-            within("heal_agrees_" + size, ran.heal, played.heal);
+            Results measured = real.get(i).get();
+            Results modelled = model(TIMING, size, SEEDS);
+            say("real_" + size, size, measured);
+            say("model_" + size, size, modelled);
+            // Both rarely show their worst case, so all real times have to lie in the model's
+            // range, widened by the tolerance.
+            checkInModelRange("detect_agrees_" + size, measured.detect, modelled.detect);
+            checkInModelRange("heal_agrees_" + size, measured.heal, modelled.heal);
         }
         say("model_" + LARGE_SIZE, LARGE_SIZE, model.get());
         figures.end();
     }
 
-    private void say(String what, int size, Found found) {
+    private void say(String what, int size, Results results) {
         Bounds bounds = new Bounds(TIMING, size);
         figures.atMost(
-                "detect_ms_p99_" + what, found.detectMost(), bounds.detectionTime().toMillis());
-        figures.atMost("heal_ms_p99_" + what, found.healMost(), bounds.healTime().toMillis());
-        figures.atMost("false_dead_" + what, found.falseDead, 0);
+                "detect_ms_p99_" + what, results.detectP99(), bounds.detectionTime().toMillis());
+        figures.atMost("heal_ms_p99_" + what, results.healP99(), bounds.healTime().toMillis());
+        figures.atMost("false_dead_" + what, results.falseDead, 0);
         figures.atMost(
                 "msgs_per_member_period_" + what,
-                found.messages,
-                bounds.messagesPerPeriod(LOSS, ABSENT));
+                results.messages,
+                bounds.messagesPerPeriod(LOSS_FRACTION, ABSENT_FRACTION));
     }
 
-    private void within(String name, List<Long> ran, List<Long> played) {
-        double least = played.get(0) * (1 - Bounds.AGREE);
-        double most = played.get(played.size() - 1) * (1 + Bounds.AGREE);
+    private void checkInModelRange(String name, List<Long> measured, List<Long> modelled) {
+        double least = modelled.get(0) * (1 - Bounds.MODEL_TOLERANCE_FRACTION);
+        double most = modelled.get(modelled.size() - 1) * (1 + Bounds.MODEL_TOLERANCE_FRACTION);
         figures.atLeast(
                 name,
-                ran.stream().filter(ms -> ms >= least && ms <= most).count() / (double) ran.size(),
+                measured.stream().filter(ms -> ms >= least && ms <= most).count()
+                        / (double) measured.size(),
                 1);
     }
 
@@ -118,24 +126,27 @@
                 .toList();
     }
 
-    private static Found model(Timing timing, int size, int seeds) {
+    private static Results model(Timing timing, int size, int seeds) {
         MemberLab lab = new MemberLab(timing);
         CompletableFuture<List<Long>> detect =
                 CompletableFuture.supplyAsync(
                         () -> sorted(seeds, seed -> lab.crash(size, seed, 0)));
         CompletableFuture<List<Long>> heal =
                 CompletableFuture.supplyAsync(
-                        () -> sorted(seeds, seed -> lab.heal(size, size * 2 / 5, SPLIT, seed)));
-        MemberLab.Result lossy = lab.loss(size, LOSS, LOSS_MODEL, STALL, 1);
-        return new Found(detect.join(), heal.join(), lossy.falseDead(), lossy.perMemberPeriod());
+                        () ->
+                                sorted(
+                                        seeds,
+                                        seed -> lab.heal(size, size * 2 / 5, SPLIT_SPAN, seed)));
+        MemberLab.Result lossy = lab.loss(size, LOSS_FRACTION, MODEL_LOSS_SPAN, STALL_SPAN, 1);
+        return new Results(detect.join(), heal.join(), lossy.falseDead(), lossy.perMemberPeriod());
     }
 
     // ---- real processes
 
-    private static Found real(int size) {
+    private static Results real(int size) {
         try (ProcessFleet fleet =
                 new ProcessFleet(Files.createTempDirectory("fleet"), size, TIMING.period(), size)) {
-            fleet.act(DELAY);
+            fleet.act(DELAY_STEP);
             fleet.startAll(size);
             List<Long> detect = new ArrayList<>();
             List<Long> heal = new ArrayList<>();
@@ -144,7 +155,7 @@
             for (int victim = 1; victim <= 2; victim++) {
                 long killed = fleet.kill(victim);
                 String name = ProcessFleet.name(victim);
-                detect.add(fleet.held(fleet.running(), name, State.DEAD, WAIT) - killed);
+                detect.add(fleet.held(fleet.running(), name, State.DEAD, TIMEOUT) - killed);
                 falseDead += fleet.deaths(killed, name, ProcessFleet.name(1)).size();
             }
             CompletableFuture<?>[] starts =
@@ -154,29 +165,30 @@
                                             CompletableFuture.runAsync(() -> start(fleet, victim)))
                             .toArray(CompletableFuture[]::new);
             CompletableFuture.allOf(starts).get();
-            settle(fleet);
-            fleet.act("0s cut " + numbers(0, size * 2 / 5) + " " + numbers(size * 2 / 5, size));
-            fleet.pass(SPLIT);
+            awaitOneView(fleet);
+            fleet.act(
+                    "0s cut " + memberList(0, size * 2 / 5) + " " + memberList(size * 2 / 5, size));
+            fleet.pass(SPLIT_SPAN);
             fleet.hub().change(Faults::mend);
             long healed = System.currentTimeMillis();
-            heal.add(fleet.oneView(WAIT) - healed);
-            settle(fleet);
-            fleet.act("0s loss * * " + LOSS);
+            heal.add(fleet.oneView(TIMEOUT) - healed);
+            awaitOneView(fleet);
+            fleet.act("0s loss * * " + LOSS_FRACTION);
             from = System.currentTimeMillis();
             long before = sent(fleet);
             fleet.stall(1);
-            fleet.pass(STALL);
+            fleet.pass(STALL_SPAN);
             fleet.resume(1);
-            fleet.pass(LOSS_REAL.minus(STALL));
+            fleet.pass(REAL_LOSS_SPAN.minus(STALL_SPAN));
             double periods =
                     (System.currentTimeMillis() - from) / (double) TIMING.period().toMillis();
-            return new Found(
+            return new Results(
                     detect.stream().sorted().toList(),
                     heal,
                     falseDead + fleet.deaths(from).size(),
                     (sent(fleet) - before) / periods / size);
         } catch (Exception failed) {
-            throw new IllegalStateException("the fleet of " + size, failed);
+            throw new IllegalStateException("fleet of " + size, failed);
         }
     }
 
@@ -188,9 +200,9 @@
         }
     }
 
-    private static void settle(ProcessFleet fleet) {
-        if (fleet.oneView(WAIT) < 0) {
-            throw new IllegalStateException("no one view: " + fleet.text());
+    private static void awaitOneView(ProcessFleet fleet) {
+        if (fleet.oneView(TIMEOUT) < 0) {
+            throw new IllegalStateException("the members have no common view: " + fleet.text());
         }
     }
 
@@ -198,7 +210,7 @@
         return IntStream.range(0, fleet.size()).mapToLong(fleet.hub()::sent).sum();
     }
 
-    private static String numbers(int from, int to) {
+    private static String memberList(int from, int to) {
         return String.join(",", IntStream.range(from, to).mapToObj(Integer::toString).toList());
     }
 }
--- a/src/test/java/cypressglade/fleet/FleetViewTest.java
+++ b/src/test/java/cypressglade/fleet/FleetViewTest.java
@@ -18,23 +18,24 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Five processes of the program, with faults between them; each test begins with all of them in one
- * view. Times are held against {@link Bounds}, with {@link #BUSY} for a machine that does other
- * work beside.
+ * Five processes of the program with network faults between them; each test begins when all of them
+ * have one view. Times are checked against {@link Bounds}, plus {@link #BUSY_ALLOWANCE} because the
+ * machine may be doing other work.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class FleetViewTest {
     private static final Duration PERIOD = Duration.ofMillis(200);
     private static final Bounds BOUNDS = new Bounds(Timing.every(PERIOD), 5);
-    private static final Duration BUSY = Duration.ofSeconds(5);
-    private static final Duration WAIT = Duration.ofSeconds(40);
+    private static final Duration BUSY_ALLOWANCE = Duration.ofSeconds(5);
+    private static final Duration TIMEOUT = Duration.ofSeconds(40);
 
-    @TempDir static Path folder;
+    @TempDir static Path directory;
     private ProcessFleet fleet;
 
     @BeforeAll
     void start() throws Exception {
-        fleet = new ProcessFleet(folder, 6, PERIOD, 11); // the sixth place is for who comes later
+        // The sixth place is for the process with a duplicate name.
+        fleet = new ProcessFleet(directory, 6, PERIOD, 11);
         fleet.act("0s delay * * 1ms..20ms");
         fleet.startAll(5);
     }
@@ -46,36 +47,36 @@
 
     @BeforeEach
     void oneView() {
-        assertThat(fleet.oneView(WAIT)).as(fleet.text()).isPositive();
+        assertThat(fleet.oneView(TIMEOUT)).as(fleet.text()).isPositive();
     }
 
-    /** The time now; what is logged from here on is after it. */
+    /** The time now in milliseconds since the epoch, as in the logged lines. */
     private static long now() {
         return System.currentTimeMillis();
     }
 
-    private void heals(long since, String... gone) {
-        long settled = fleet.oneView(WAIT);
+    private void assertHeals(long since, String... gone) {
+        long settled = fleet.oneView(TIMEOUT);
         assertThat(settled - since)
                 .as(fleet.text())
-                .isBetween(0L, BOUNDS.healTime().plus(BUSY).toMillis());
+                .isBetween(0L, BOUNDS.healTime().plus(BUSY_ALLOWANCE).toMillis());
         fleet.pass(PERIOD.multipliedBy(12));
-        assertThat(fleet.deaths(since, gone)).as("nobody flaps once healed").isEmpty();
-        assertThat(fleet.oneView(WAIT)).isPositive();
+        assertThat(fleet.deaths(since, gone)).as("nobody is held dead again once healed").isEmpty();
+        assertThat(fleet.oneView(TIMEOUT)).isPositive();
     }
 
     @Test
-    void aCrashIsHeldDeadByAllInTimeAndTheRestartIsAnotherLifeOfThatName() throws Exception {
+    void crashedMemberIsDeadEverywhereInTimeAndRestartsAsANewGeneration() throws Exception {
         String life = fleet.view(0).path("members").findValue("life").asText();
         long killed = fleet.kill(1);
-        long held = fleet.held(fleet.running(), "m-1", State.DEAD, WAIT);
+        long held = fleet.held(fleet.running(), "m-1", State.DEAD, TIMEOUT);
         assertThat(held - killed)
                 .as(fleet.text())
-                .isBetween(0L, BOUNDS.detectionTime().plus(BUSY).toMillis());
+                .isBetween(0L, BOUNDS.detectionTime().plus(BUSY_ALLOWANCE).toMillis());
         assertThat(fleet.deaths(killed, "m-1")).isEmpty();
         long started = now();
         fleet.start(1);
-        assertThat(fleet.oneView(WAIT)).as(fleet.text()).isPositive();
+        assertThat(fleet.oneView(TIMEOUT)).as(fleet.text()).isPositive();
         assertThat(fleet.deaths(started, "m-1")).isEmpty();
         assertThat(fleet.since(started))
                 .filteredOn(event -> event.name().equals("m-1") && event.state().equals("alive"))
@@ -90,37 +91,37 @@
     }
 
     @Test
-    void aSplitOfTwoAndThreeSettlesOnEachSideAndHealsToOneView() throws Exception {
+    void splitOfTwoAndThreeSettlesOnEachSideAndHealsToOneView() throws Exception {
         long cut = now();
         fleet.act("0s cut 0,1 2,3,4");
         for (String name : List.of("m-2", "m-3", "m-4")) {
-            assertThat(fleet.held(List.of(0, 1), name, State.DEAD, WAIT) - cut)
+            assertThat(fleet.held(List.of(0, 1), name, State.DEAD, TIMEOUT) - cut)
                     .as(fleet.text())
-                    .isBetween(0L, BOUNDS.splitDetectionTime(2).plus(BUSY).toMillis());
+                    .isBetween(0L, BOUNDS.splitDetectionTime(2).plus(BUSY_ALLOWANCE).toMillis());
         }
         for (String name : List.of("m-0", "m-1")) {
-            assertThat(fleet.held(List.of(2, 3, 4), name, State.DEAD, WAIT) - cut)
+            assertThat(fleet.held(List.of(2, 3, 4), name, State.DEAD, TIMEOUT) - cut)
                     .as(fleet.text())
-                    .isBetween(0L, BOUNDS.splitDetectionTime(3).plus(BUSY).toMillis());
+                    .isBetween(0L, BOUNDS.splitDetectionTime(3).plus(BUSY_ALLOWANCE).toMillis());
         }
         fleet.pass(Duration.ofSeconds(10).minusMillis(now() - cut));
         assertThat(fleet.deaths(cut))
-                .as("each side is of one mind about itself")
+                .as("each side holds only members of the other side dead")
                 .allMatch(
                         event ->
                                 event.seenBy() < 2
                                         == List.of("m-2", "m-3", "m-4").contains(event.name()));
         long healed = now();
         fleet.hub().change(Faults::mend);
-        heals(healed);
+        assertHeals(healed);
     }
 
     /**
-     * One hears the other, which does not hear it: the others ask for them, and nobody is taken for
-     * dead.
+     * Member 2 receives nothing from member 1, but the other direction works: the indirect probes
+     * of the others succeed, and nobody is held dead.
      */
     @Test
-    void aLinkThatIsCutOneWayCostsNobody() throws Exception {
+    void linkCutInOneDirectionLeavesNobodyDead() throws Exception {
         long cut = now();
         fleet.act("0s cut-one-way 1 2");
         fleet.pass(BOUNDS.detectionTime());
@@ -128,12 +129,12 @@
         fleet.hub().change(Faults::mend);
     }
 
-    /** A member that hears nobody, but is heard, takes nobody with it. */
+    /** A member that receives nothing but can send must not make others appear dead. */
     @Test
-    void aDeafMemberIsLostAloneAndComesBack() throws Exception {
+    void onlyTheMemberThatReceivesNothingIsHeldDeadAndItRejoins() throws Exception {
         long cut = now();
         fleet.act("0s cut-one-way 0,1,2,4 3");
-        assertThat(fleet.held(List.of(0, 1, 2, 4), "m-3", State.DEAD, WAIT))
+        assertThat(fleet.held(List.of(0, 1, 2, 4), "m-3", State.DEAD, TIMEOUT))
                 .as(fleet.text())
                 .isPositive();
         assertThat(fleet.deaths(cut))
@@ -141,26 +142,26 @@
                 .allMatch(event -> event.name().equals("m-3"));
         long healed = now();
         fleet.hub().change(Faults::mend);
-        heals(healed);
+        assertHeals(healed);
     }
 
     @Test
-    void aMemberThatStoodStillIsTakenBackAndTakesNobodyForDead() throws Exception {
+    void stalledMemberRejoinsAndHoldsNobodyDead() throws Exception {
         long stalled = now();
         fleet.stall(4);
-        assertThat(fleet.held(fleet.running(4), "m-4", State.DEAD, WAIT))
+        assertThat(fleet.held(fleet.running(4), "m-4", State.DEAD, TIMEOUT))
                 .as(fleet.text())
                 .isPositive();
         long resumed = now();
         fleet.resume(4);
-        heals(resumed);
+        assertHeals(resumed);
         assertThat(fleet.deaths(stalled))
                 .allMatch(event -> event.name().equals("m-4") && event.seenBy() != 4);
         assertThat(fleet.view(4).path("stalls").asLong()).isPositive();
     }
 
     @Test
-    void aTenthLostOnEveryLinkForAMinuteKillsNobody() throws Exception {
+    void tenPercentLossOnEveryLinkForAMinuteLeavesNobodyDead() throws Exception {
         long from = now();
         fleet.act("0s loss * * 0.1");
         fleet.pass(Duration.ofSeconds(60));
@@ -169,19 +170,19 @@
     }
 
     /**
-     * Another process under a name in use is refused with a line that says so, and the holder keeps
-     * its name.
+     * Another process under a name in use is refused, which is logged, and the first one keeps the
+     * name.
      */
     @Test
-    void anotherProcessUnderANameInUseIsRefused() throws Exception {
+    void secondProcessUnderANameInUseIsRefused() throws Exception {
         long started = now();
         String life = fleet.view(2).path("life").asText();
         fleet.start(5, "m-2");
         boolean refused =
                 fleet.logged(
                         started,
-                        WAIT,
-                        event -> event.seenBy() != 5 && tellsOfRefused(event.line(), life));
+                        TIMEOUT,
+                        event -> event.seenBy() != 5 && isRefusal(event.line(), life));
         assertThat(refused).as(fleet.text()).isTrue();
         fleet.kill(5);
         fleet.pass(PERIOD.multipliedBy(4));
@@ -192,7 +193,7 @@
         assertThat(fleet.deaths(started)).isEmpty();
     }
 
-    private static boolean tellsOfRefused(JsonNode line, String life) {
+    private static boolean isRefusal(JsonNode line, String life) {
         return line.path("fleet").asText().equals("name_refused")
                 && line.path("known").path("life").asText().equals(life);
     }
--- a/src/test/java/cypressglade/fleet/ViewTest.java
+++ b/src/test/java/cypressglade/fleet/ViewTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The view's lines: what operators and the rig read. */
+/** The view's JSON lines, which operators and the process tests read, and the bounds. */
 class ViewTest {
     private final View view = new View("m-0", Instant.EPOCH);
 
@@ -26,14 +26,14 @@
     }
 
     @Test
-    void changesCountFlapsAndTheWholeSaysHowLongItHasHeld() throws Exception {
+    void changesAreCountedWithFlapsAndTheViewTellsHowLongItIsUnchanged() throws Exception {
         JsonNode first =
                 json(view.recordChange(member("m-1", 7, State.ALIVE), Instant.ofEpochSecond(1)));
         assertThat(first.path("fleet").asText()).isEqualTo("change");
         assertThat(first.path("member").path("state").asText()).isEqualTo("alive");
         assertThat(first.path("member").path("address").asText()).isEqualTo("127.0.0.1:1001");
         view.recordChange(member("m-1", 7, State.SUSPECT), Instant.ofEpochSecond(2));
-        // refuted in time: no flap
+        // refuted in time: not a flap
         view.recordChange(member("m-1", 7, State.ALIVE), Instant.ofEpochSecond(3));
         view.recordChange(member("m-1", 7, State.DEAD), Instant.ofEpochSecond(4));
         view.recordChange(member("m-1", 8, State.ALIVE), Instant.ofEpochSecond(5));
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aRefusedNameIsToldOnce() throws Exception {
+    void refusedNameIsReportedOncePerProcess() throws Exception {
         JsonNode line =
                 json(
                         view.recordRefusal(
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void boundsGrowWithTheLogarithmAndThePeriod() {
+    void boundsGrowWithTheLogarithmOfTheSizeAndWithThePeriod() {
         Bounds five = new Bounds(Timing.every(Duration.ofMillis(200)), 5);
         assertThat(five.detectionTime()).isEqualTo(Duration.ofMillis(4000));
         assertThat(new Bounds(Timing.standard(), 5).detectionTime())
