--- a/src/main/java/cypressglade/peer/Peers.java
+++ b/src/main/java/cypressglade/peer/Peers.java
@@ -20,11 +20,11 @@
 import cypressglade.member.Swim;
 import cypressglade.net.Datagrams;
 import cypressglade.net.Loop;
-import cypressglade.share.Grant;
-import cypressglade.share.Key;
+import cypressglade.share.Allocation;
 import cypressglade.share.Notice;
-import cypressglade.share.Sharing;
-import cypressglade.share.Terms;
+import cypressglade.share.ShareKey;
+import cypressglade.share.SharingProtocol;
+import cypressglade.share.SharingSettings;
 import cypressglade.share.Verdicts.Verdict;
 import cypressglade.snapshot.SnapshotStore;
 import java.io.IOException;
@@ -109,7 +109,7 @@
     private RecentMembers.Share share = new RecentMembers.Share(0, 1);
     private Swim swim;
     private Optional<View> view = Optional.empty();
-    private Optional<Sharing<InetSocketAddress>> sharing = Optional.empty();
+    private Optional<SharingProtocol<InetSocketAddress>> sharing = Optional.empty();
     private Datagrams datagrams;
     private TransferServer transfers;
     private TransferClient client;
@@ -165,7 +165,9 @@
                 () ->
                         sharing.ifPresent(
                                 kept -> {
-                                    say(kept.give(subject, word, MonotonicClock.now()), "verdict");
+                                    say(
+                                            kept.issueVerdict(subject, word, MonotonicClock.now()),
+                                            "verdict");
                                     keepVerdicts(kept);
                                 }));
     }
@@ -254,7 +256,7 @@
                                 view.map(
                                         kept -> {
                                             ObjectNode whole =
-                                                    kept.whole(swim, MonotonicClock.now());
+                                                    kept.toJson(swim, MonotonicClock.now());
                                             sharing.ifPresent(
                                                     shared -> SharedLines.add(whole, shared));
                                             return whole.toString();
@@ -372,7 +374,7 @@
                 talk.terms()
                         .map(
                                 terms ->
-                                        new Sharing<>(
+                                        new SharingProtocol<>(
                                                 config.name(),
                                                 terms,
                                                 engine.coldWindow(),
@@ -396,13 +398,13 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private void begin(Sharing<InetSocketAddress> kept) {
-        kept.begin();
+    private void begin(SharingProtocol<InetSocketAddress> kept) {
+        kept.start();
         // past the edge of its window
-        repeat(() -> tick(kept), () -> kept.due(MonotonicClock.now()).plusMillis(1));
+        repeat(() -> tick(kept), () -> kept.nextTick(MonotonicClock.now()).plusMillis(1));
     }
 
-    private void tick(Sharing<InetSocketAddress> kept) {
+    private void tick(SharingProtocol<InetSocketAddress> kept) {
         Map<String, InetSocketAddress> present =
                 swim.presentMembers().stream()
                         .collect(
@@ -518,7 +520,7 @@
                     public void came(Transfer frame) {
                         swim.merge(frame.members(), MonotonicClock.now());
                         learner.receive(frame.words(), MonotonicClock.now());
-                        sharing.ifPresent(kept -> kept.take(frame.verdicts()));
+                        sharing.ifPresent(kept -> kept.acceptVerdicts(frame.verdicts()));
                         publish();
                     }
 
@@ -575,7 +577,7 @@
                         Math.min(
                                 Math.min(Codec.MOST_WORDS, asked.index()),
                                 config.mostNodes() * WORDS_A_NODE));
-        List<Verdict> held = sharing.map(Sharing::verdicts).orElse(List.of());
+        List<Verdict> held = sharing.map(SharingProtocol::verdicts).orElse(List.of());
         int frames =
                 Math.max(
                         1,
@@ -622,9 +624,9 @@
         figures.put("members_turned_away", swim.rejectedMembers());
         sharing.ifPresent(
                 kept -> {
-                    figures.put("limits_agreed_among", (long) kept.granted().agreed());
+                    figures.put("limits_agreed_among", (long) kept.allocation().agreedMembers());
                     figures.put("verdicts_held", (long) kept.verdicts().size());
-                    figures.put("shared_turned_away", kept.turnedAway());
+                    figures.put("shared_turned_away", kept.rejected());
                 });
         return figures;
     }
@@ -713,10 +715,10 @@
     }
 
     /** What sharing orders. */
-    private final class Shared implements Sharing.Out<InetSocketAddress> {
-        private final Terms terms;
+    private final class Shared implements SharingProtocol.Out<InetSocketAddress> {
+        private final SharingSettings terms;
 
-        Shared(Terms terms) {
+        Shared(SharingSettings terms) {
             this.terms = terms;
         }
 
@@ -726,28 +728,28 @@
         }
 
         @Override
-        public void exchange(InetSocketAddress with) {
+        public void fetchVerdicts(InetSocketAddress with) {
             pull(with);
         }
 
         @Override
-        public void ruled(Verdict verdict) {
+        public void verdictAccepted(Verdict verdict) {
             say(verdict, "verdict_taken");
             ruling.accept(verdict);
             sharing.ifPresent(Peers.this::keepVerdicts);
         }
 
         @Override
-        public void granted(Grant grant) {
+        public void allocationChanged(Allocation grant) {
             Map<Long, Double> volumes = new HashMap<>();
             Map<DemandTracker.ColdNode, Double> cold = new HashMap<>();
-            grant.parts()
+            grant.shares()
                     .forEach(
                             (key, part) -> {
-                                if (Key.isVolume(key)) {
-                                    volumes.put(Key.volume(key), part);
+                                if (ShareKey.isVolume(key)) {
+                                    volumes.put(ShareKey.volumeId(key), part);
                                 } else {
-                                    Key.run(key)
+                                    ShareKey.nodeGeneration(key)
                                             .map(
                                                     run ->
                                                             new DemandTracker.ColdNode(
@@ -759,26 +761,29 @@
                     new Engine.LimitAllocation(
                             volumes,
                             cold,
-                            grant.rest(),
-                            grant.coldRest(),
-                            terms.least(),
-                            terms.begin(grant.window() + 1)));
+                            grant.otherVolumeShare(),
+                            grant.otherColdNodeShare(),
+                            terms.minShare(),
+                            terms.windowStart(grant.window() + 1)));
         }
 
         @Override
-        public void ask(long window) {
+        public void requestDemand(long window) {
             engine.takeDemand(
                     demand -> {
                         Map<String, Double> wanted = new HashMap<>();
                         demand.unitsByVolume()
-                                .forEach((volume, units) -> wanted.put(Key.volume(volume), units));
+                                .forEach(
+                                        (volume, units) ->
+                                                wanted.put(ShareKey.ofVolume(volume), units));
                         demand.unitsByColdNode()
                                 .forEach(
                                         (node, units) ->
                                                 wanted.put(
-                                                        Key.node(node.id(), node.startedUs()),
+                                                        ShareKey.ofNode(
+                                                                node.id(), node.startedUs()),
                                                         units));
-                        execute(() -> sharing.ifPresent(kept -> kept.wanted(window, wanted)));
+                        execute(() -> sharing.ifPresent(kept -> kept.reportDemand(window, wanted)));
                     });
         }
     }
@@ -790,7 +795,7 @@
                 SharedLines.verdict(config.name(), what, verdict, MonotonicClock.now()));
     }
 
-    private void keepVerdicts(Sharing<InetSocketAddress> kept) {
+    private void keepVerdicts(SharingProtocol<InetSocketAddress> kept) {
         verdicts.ifPresent(
                 file -> {
                     byte[] body = Codec.verdicts(kept.verdicts());
@@ -838,7 +843,7 @@
             LOG.log(
                     Level.INFO,
                     "{0}",
-                    view.map(kept -> kept.change(member, MonotonicClock.now()))
+                    view.map(kept -> kept.recordChange(member, MonotonicClock.now()))
                             .orElseGet(
                                     () ->
                                             "member "
@@ -852,7 +857,8 @@
         @Override
         public void nameClaimRefused(Member known, Member claim) {
             String line =
-                    view.map(kept -> kept.refusal(known, claim, MonotonicClock.now())).orElse("");
+                    view.map(kept -> kept.recordRefusal(known, claim, MonotonicClock.now()))
+                            .orElse("");
             if (!line.isEmpty()) {
                 LOG.log(Level.WARNING, "{0}", line);
             }
--- a/src/test/java/cypressglade/peer/CodecTest.java
+++ b/src/test/java/cypressglade/peer/CodecTest.java
@@ -14,7 +14,6 @@
 import cypressglade.peer.Sealed.Fault;
 import cypressglade.peer.Sealed.Refused;
 import cypressglade.share.Notice;
-import cypressglade.share.Notice.Piece;
 import cypressglade.share.Verdicts.Verdict;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -103,7 +102,7 @@
                         -7,
                         Map.of(5L, -1L, 6L, 3L),
                         List.of(
-                                new Piece(
+                                new Notice.Fragment(
                                         "m-1",
                                         5,
                                         0,
