--- a/src/main/java/cypressglade/cli/PeersCommand.java
+++ b/src/main/java/cypressglade/cli/PeersCommand.java
@@ -11,7 +11,6 @@
 import cypressglade.member.Member;
 import cypressglade.peer.PeerReport;
 import cypressglade.peer.PeersConfig;
-import cypressglade.peer.PeersConfig.Talk;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.io.StringWriter;
@@ -45,11 +44,11 @@
     /** A line for {@code check-config}. */
     static String summary(PeersConfig config) {
         return config.name()
-                + config.talk()
+                + config.network()
                         .map(
                                 talk ->
                                         " on "
-                                                + text(talk.listen())
+                                                + text(talk.listenAddress())
                                                 + " with "
                                                 + talk.seeds().size()
                                                 + " seeds")
@@ -70,8 +69,9 @@
     @Override
     public void run(PrintStream out) throws ConfigException, IOException {
         PeersConfig config = PeersConfigParser.read(Path.of(file)).orElseThrow(this::notEnabled);
-        Talk talk = config.talk().orElseThrow(this::alone);
-        PeerReport report = PeerReport.of(at.isEmpty() ? talk.listen() : address(at), talk.keys());
+        PeersConfig.Network talk = config.network().orElseThrow(this::alone);
+        PeerReport report =
+                PeerReport.fetch(at.isEmpty() ? talk.listenAddress() : address(at), talk.keys());
         out.print(json ? json(report) : table(report));
     }
 
@@ -121,14 +121,14 @@
                 String.format(
                         "%n%-24s %-24s %9s %9s %10s %s%n",
                         "NODE", "TOLD BY", "AGE s", "SILENT s", "ms a UNIT", "ANSWERS"));
-        for (NodeObservation word : sorted(report.words())) {
+        for (NodeObservation word : sorted(report.observations())) {
             table.append(
                     String.format(
                             Locale.ROOT,
                             "%-24s %-24s %9.1f %9s %10.2f %d%n",
                             word.nodeId(),
                             word.origin().name(),
-                            seconds(word, report.at()),
+                            seconds(word, report.requestedAt()),
                             word.isSilent()
                                     ? String.format(
                                             Locale.ROOT, "%.1f", word.silentFor().toMillis() / 1e3)
@@ -137,7 +137,7 @@
                             word.answerCount()));
         }
         table.append(String.format("%n"));
-        for (Map.Entry<String, Long> figure : report.figures().entrySet()) {
+        for (Map.Entry<String, Long> figure : report.counters().entrySet()) {
             table.append(String.format("%-24s %d%n", figure.getKey(), figure.getValue()));
         }
         return table.toString();
@@ -176,11 +176,11 @@
             }
             out.writeEndArray();
             out.writeArrayFieldStart("learned");
-            for (NodeObservation word : sorted(report.words())) {
+            for (NodeObservation word : sorted(report.observations())) {
                 out.writeStartObject();
                 out.writeStringField("node", word.nodeId());
                 out.writeStringField("told_by", word.origin().name());
-                out.writeNumberField("age_s", seconds(word, report.at()));
+                out.writeNumberField("age_s", seconds(word, report.requestedAt()));
                 out.writeNumberField("silent_s", word.silentFor().toMillis() / 1e3);
                 out.writeNumberField("us_a_unit", word.serviceTimePerUnitMicros());
                 out.writeNumberField("backlog_us", word.backlogMicros());
@@ -192,7 +192,7 @@
             }
             out.writeEndArray();
             out.writeObjectFieldStart("figures");
-            for (Map.Entry<String, Long> figure : report.figures().entrySet()) {
+            for (Map.Entry<String, Long> figure : report.counters().entrySet()) {
                 out.writeNumberField(figure.getKey(), figure.getValue());
             }
             out.writeEndObject();
--- a/src/main/java/cypressglade/cli/Serve.java
+++ b/src/main/java/cypressglade/cli/Serve.java
@@ -167,7 +167,7 @@
 
                                             @Override
                                             public Optional<String> fleet() {
-                                                return peers.flatMap(Peers::view);
+                                                return peers.flatMap(Peers::fleetViewJson);
                                             }
 
                                             @Override
@@ -176,7 +176,9 @@
                                             }
                                         }));
         boolean byHand =
-                control.isPresent() || door.isPresent() || peers.filter(Peers::shares).isPresent();
+                control.isPresent()
+                        || door.isPresent()
+                        || peers.filter(Peers::sharesLimits).isPresent();
         Consumer<NodeList> lists = byHand ? drains::told : engine::updateNodes;
         lists.accept(config.known());
         discovery =
@@ -243,7 +245,7 @@
 
     /** An operator decided something here: the fleet hears of it, where one shares verdicts. */
     private void decided(String subject, String word) {
-        peers.ifPresent(fleet -> fleet.decided(subject, word));
+        peers.ifPresent(fleet -> fleet.announceVerdict(subject, word));
     }
 
     /** What was decided at another member, or here in a former life. */
@@ -345,7 +347,7 @@
             blockClients.get().use(files.nbd().get(), next.settings());
         }
         if (files.peers().isPresent() && peers.isPresent()) {
-            peers.get().use(files.peers().get());
+            peers.get().applyConfig(files.peers().get());
         }
         if (!next.listen().equals(config.listen())
                 || files.nbd().isPresent() != blockClients.isPresent()
--- a/src/main/java/cypressglade/config/PeersConfigParser.java
+++ b/src/main/java/cypressglade/config/PeersConfigParser.java
@@ -4,7 +4,6 @@
 import cypressglade.peer.KeyRing;
 import cypressglade.peer.PeersConfig;
 import cypressglade.peer.PeersConfig.Snapshots;
-import cypressglade.peer.PeersConfig.Talk;
 import cypressglade.share.SharingSettings;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -63,7 +62,7 @@
                     "name",
                     "is not 1 to " + MOST_NAME + " letters, digits, dots, dashes or underscores");
         }
-        Optional<Talk> talk =
+        Optional<PeersConfig.Network> talk =
                 values.text("listen", "").isEmpty() ? Optional.empty() : Optional.of(talk());
         Optional<Snapshots> snapshots =
                 values.text("snapshot_dir", "").isEmpty()
@@ -80,7 +79,7 @@
                 Duration.ofMillis(values.whole("start_wait_ms", 0, MOST_WAIT_MS, 200)));
     }
 
-    private Talk talk() throws ConfigException {
+    private PeersConfig.Network talk() throws ConfigException {
         InetSocketAddress listen = values.address("listen");
         Optional<InetSocketAddress> advertised =
                 values.text("advertise", "").isEmpty()
@@ -102,7 +101,7 @@
         }
         Path keyFile = directory.resolve(values.text("key_file"));
         try {
-            return new Talk(
+            return new PeersConfig.Network(
                     listen,
                     advertised,
                     List.copyOf(seeds),
--- a/src/main/java/cypressglade/peer/PeerReport.java
+++ b/src/main/java/cypressglade/peer/PeerReport.java
@@ -23,10 +23,13 @@
  * asks.
  *
  * @param members the instance asked is the first
- * @param at when it was asked for; ages are told from here
+ * @param requestedAt when it was asked for; ages are told from here
  */
 public record PeerReport(
-        List<Member> members, List<NodeObservation> words, Map<String, Long> figures, Instant at) {
+        List<Member> members,
+        List<NodeObservation> observations,
+        Map<String, Long> counters,
+        Instant requestedAt) {
     private static final int MOST_WORDS = 4096;
 
     /**
@@ -34,7 +37,7 @@
      *
      * @throws IOException where no whole answer came, saying what did
      */
-    public static PeerReport of(InetSocketAddress instance, KeyRing keys) throws IOException {
+    public static PeerReport fetch(InetSocketAddress instance, KeyRing keys) throws IOException {
         CompletableFuture<PeerReport> done = new CompletableFuture<>();
         PeerReport report =
                 new PeerReport(
@@ -57,8 +60,8 @@
                                 @Override
                                 public void came(Transfer frame) {
                                     report.members.addAll(frame.members());
-                                    report.words.addAll(frame.words());
-                                    report.figures.putAll(frame.figures());
+                                    report.observations.addAll(frame.words());
+                                    report.counters.putAll(frame.figures());
                                 }
 
                                 @Override
--- a/src/main/java/cypressglade/peer/Peers.java
+++ b/src/main/java/cypressglade/peer/Peers.java
@@ -137,22 +137,22 @@
         this.counters = counters;
         long drawn = random.nextLong();
         life = drawn == 0 ? 1 : drawn; // 0 stands for a life that is not known
-        learner = new Learner(new Origin(config.name(), life), config.mostNodes());
+        learner = new Learner(new Origin(config.name(), life), config.maxNodes());
         guard = new ReplayGuard(life);
         store = config.snapshots().map(kept -> new SnapshotStore(kept.directory(), "learned"));
         verdicts =
                 config.snapshots()
                         .filter(kept -> shares(config))
                         .map(kept -> new SnapshotStore(kept.directory(), "verdicts"));
-        keys = config.talk().map(PeersConfig.Talk::keys).orElse(null);
+        keys = config.network().map(PeersConfig.Network::keys).orElse(null);
     }
 
     private static boolean shares(PeersConfig config) {
-        return config.talk().flatMap(PeersConfig.Talk::terms).isPresent();
+        return config.network().flatMap(PeersConfig.Network::sharingSettings).isPresent();
     }
 
     /** Whether limits and verdicts are shared. */
-    public boolean shares() {
+    public boolean sharesLimits() {
         return shares(config);
     }
 
@@ -160,7 +160,7 @@
      * An operator decided at this instance: all members are told. Returns at once, from any thread;
      * nothing happens where verdicts are not shared.
      */
-    public void decided(String subject, String word) {
+    public void announceVerdict(String subject, String word) {
         execute(
                 () ->
                         sharing.ifPresent(
@@ -186,9 +186,9 @@
      */
     public void start() throws IOException {
         recall();
-        if (config.talk().isPresent()) {
+        if (config.network().isPresent()) {
             warm();
-            open(config.talk().get());
+            open(config.network().get());
         } else {
             learned.countDown();
         }
@@ -203,11 +203,11 @@
                                                     byte[] body = body();
                                                     disk.execute(() -> write(body));
                                                 }),
-                                        kept.every().toMillis(),
-                                        kept.every().toMillis(),
+                                        kept.interval().toMillis(),
+                                        kept.interval().toMillis(),
                                         TimeUnit.MILLISECONDS));
         try {
-            learned.await(config.startWait().toMillis(), TimeUnit.MILLISECONDS);
+            learned.await(config.maxStartWait().toMillis(), TimeUnit.MILLISECONDS);
         } catch (InterruptedException stopped) {
             Thread.currentThread().interrupt();
         }
@@ -245,8 +245,8 @@
      * or none came in time: from any thread but the I/O thread, as it waits {@value #VIEW_WAIT_MS}
      * ms at most.
      */
-    public Optional<String> view() {
-        if (config.talk().isEmpty() || !config.talk().get().view()) {
+    public Optional<String> fleetViewJson() {
+        if (config.network().isEmpty() || !config.network().get().keepsFleetView()) {
             return Optional.empty();
         }
         CompletableFuture<Optional<String>> said = new CompletableFuture<>();
@@ -272,10 +272,10 @@
     }
 
     /** Takes the keys of a new configuration; the rest of it changes with a restart. */
-    public void use(PeersConfig next) {
-        next.talk().ifPresent(talk -> keys = talk.keys());
+    public void applyConfig(PeersConfig next) {
+        next.network().ifPresent(talk -> keys = talk.keys());
         if (!next.name().equals(config.name())
-                || next.talk().isPresent() != config.talk().isPresent()) {
+                || next.network().isPresent() != config.network().isPresent()) {
             LOG.log(Level.WARNING, "of the peers' file, keys alone change without a restart");
         }
     }
@@ -351,11 +351,11 @@
         };
     }
 
-    private void open(PeersConfig.Talk talk) throws IOException {
-        bind(talk.listen());
-        InetSocketAddress at = talk.advertised().orElse(transfers.address());
+    private void open(PeersConfig.Network talk) throws IOException {
+        bind(talk.listenAddress());
+        InetSocketAddress at = talk.advertisedAddress().orElse(transfers.address());
         Optional<InetSocketAddress> local =
-                Optional.of(talk.listen())
+                Optional.of(talk.listenAddress())
                         .filter(listen -> !listen.getAddress().isAnyLocalAddress())
                         .map(listen -> new InetSocketAddress(listen.getAddress(), 0));
         client = new TransferClient(loop, local, this::execute, random, () -> keys);
@@ -365,13 +365,13 @@
                 new Swim(
                         new Member(config.name(), at, life, 0, Member.State.ALIVE),
                         talk.seeds(),
-                        talk.timing(),
+                        talk.swimSettings(),
                         random,
                         new Wiring(),
                         now);
-        view = talk.view() ? Optional.of(new View(config.name(), now)) : Optional.empty();
+        view = talk.keepsFleetView() ? Optional.of(new View(config.name(), now)) : Optional.empty();
         sharing =
-                talk.terms()
+                talk.sharingSettings()
                         .map(
                                 terms ->
                                         new SharingProtocol<>(
@@ -393,8 +393,8 @@
                 });
         owner.scheduleWithFixedDelay(
                 guarded(this::refresh),
-                talk.refresh().toMillis(),
-                talk.refresh().toMillis(),
+                talk.refreshInterval().toMillis(),
+                talk.refreshInterval().toMillis(),
                 TimeUnit.MILLISECONDS);
     }
 
@@ -461,7 +461,7 @@
     private void recount() {
         members = swim == null ? List.of() : List.copyOf(swim.members());
         view.ifPresent(kept -> kept.retain(members));
-        if (swim != null && config.talk().get().shareCold()) {
+        if (swim != null && config.network().get().sharesColdNodeLimits()) {
             RecentMembers.Share next = census.update(swim.members(), MonotonicClock.now());
             if (!next.equals(share)) {
                 share = next;
@@ -509,7 +509,7 @@
         }
         client.pull(
                 from,
-                config.mostNodes() * WORDS_A_NODE,
+                config.maxNodes() * WORDS_A_NODE,
                 new TransferClient.Listener() {
                     @Override
                     public List<Member> members() {
@@ -576,7 +576,7 @@
                         now,
                         Math.min(
                                 Math.min(Codec.MOST_WORDS, asked.index()),
-                                config.mostNodes() * WORDS_A_NODE));
+                                config.maxNodes() * WORDS_A_NODE));
         List<Verdict> held = sharing.map(SharingProtocol::verdicts).orElse(List.of());
         int frames =
                 Math.max(
@@ -894,7 +894,7 @@
                         file ->
                                 file.newest(
                                         Instant.now(),
-                                        config.snapshots().get().mostAge(),
+                                        config.snapshots().get().maxAge(),
                                         this::words,
                                         this::ignored))
                 .ifPresent(words -> learner.receive(words, MonotonicClock.now()));
--- a/src/test/java/cypressglade/config/ConfigTest.java
+++ b/src/test/java/cypressglade/config/ConfigTest.java
@@ -204,14 +204,14 @@
                         PosixFilePermissions.asFileAttribute(
                                 PosixFilePermissions.fromString("rw-------")));
         Files.writeString(key, "1 " + "5a".repeat(32) + "\n");
-        PeersConfig.Talk talk =
+        PeersConfig.Network talk =
                 PeersConfigParser.read(Files.writeString(folder.resolve("fleet.json"), shipped))
                         .orElseThrow()
-                        .talk()
+                        .network()
                         .orElseThrow();
-        assertThat(talk.view()).isTrue();
-        assertThat(talk.timing()).isEqualTo(SwimSettings.defaults());
-        assertThat(talk.terms().orElseThrow())
+        assertThat(talk.keepsFleetView()).isTrue();
+        assertThat(talk.swimSettings()).isEqualTo(SwimSettings.defaults());
+        assertThat(talk.sharingSettings().orElseThrow())
                 .isEqualTo(
                         new SharingSettings(
                                 Set.of("scheduler-1", "scheduler-2", "scheduler-3"),
--- a/src/test/java/cypressglade/peer/LearningMeasure.java
+++ b/src/test/java/cypressglade/peer/LearningMeasure.java
@@ -82,7 +82,7 @@
         return new PeersConfig(
                 name,
                 Optional.of(
-                        new PeersConfig.Talk(
+                        new PeersConfig.Network(
                                 new InetSocketAddress("127.0.0.1", 0),
                                 Optional.empty(),
                                 List.of(seeds),
@@ -280,7 +280,7 @@
             PeersConfig peers =
                     new PeersConfig(
                             "full",
-                            talking("full").talk(),
+                            talking("full").network(),
                             Optional.of(
                                     new PeersConfig.Snapshots(
                                             directory, Duration.ofHours(1), Duration.ofHours(1))),
@@ -292,9 +292,9 @@
                 double[] ms = new double[21];
                 for (int i = 0; i < ms.length; i++) {
                     long begun = System.nanoTime();
-                    PeerReport report = PeerReport.of(at, keys);
+                    PeerReport report = PeerReport.fetch(at, keys);
                     ms[i] = (System.nanoTime() - begun) / 1e6;
-                    figures.hold("words", report.words().size(), 1000);
+                    figures.hold("words", report.observations().size(), 1000);
                 }
                 figures.say("transfer_first_ms", ms[0]);
                 Arrays.sort(ms);
--- a/src/test/java/cypressglade/peer/PeersTest.java
+++ b/src/test/java/cypressglade/peer/PeersTest.java
@@ -75,7 +75,7 @@
         return new PeersConfig(
                 name,
                 Optional.of(
-                        new PeersConfig.Talk(
+                        new PeersConfig.Network(
                                 ANY,
                                 Optional.empty(),
                                 List.of(seeds),
@@ -141,14 +141,15 @@
         Site running = site(talking("a", LONG));
         int sent = learn(running);
         PeersConfig second = talking("b", LONG, running.serve.peerAddress().orElseThrow());
-        Site.await(() -> report(running).words().stream().anyMatch(NodeObservation::isSilent));
+        Site.await(
+                () -> report(running).observations().stream().anyMatch(NodeObservation::isSilent));
         Site taught = site(second);
         assertThat(count(taught, Name.HINTS_TAKEN)).isPositive();
         assertThat(ask(taught, 0)).isEqualTo(200);
         assertThat(ask(taught, 1)).isEqualTo(503);
         assertThat(silent.arrivals).hasSize(sent);
         Site.await(() -> report(running).members().size() == 2);
-        assertThat(report(taught).figures()).containsEntry("shares_cold_among", 2L);
+        assertThat(report(taught).counters()).containsEntry("shares_cold_among", 2L);
         open.remove(taught);
         taught.close();
         Site.await(() -> report(running).members().get(1).state() == State.LEFT);
@@ -156,7 +157,7 @@
 
     private PeerReport report(Site site) {
         try {
-            return PeerReport.of(site.serve.peerAddress().orElseThrow(), keys);
+            return PeerReport.fetch(site.serve.peerAddress().orElseThrow(), keys);
         } catch (IOException failed) {
             throw new IllegalStateException(failed);
         }
@@ -385,7 +386,7 @@
         hand.socket.setSoTimeout(50);
         assertThatThrownBy(hand::next).isInstanceOf(SocketTimeoutException.class);
         assertThat(report(site).members()).hasSize(1);
-        assertThatThrownBy(() -> PeerReport.of(site.serve.peerAddress().orElseThrow(), wrong))
+        assertThatThrownBy(() -> PeerReport.fetch(site.serve.peerAddress().orElseThrow(), wrong))
                 .isInstanceOf(IOException.class)
                 .hasMessageContaining("same key file");
         assertThat(ask(site, 0)).isEqualTo(200);
@@ -424,10 +425,10 @@
                     site.config,
                     new OperatorFiles(
                             Optional.empty(), Optional.of(talking("a", LONG)), Optional.empty()));
-            assertThat(PeerReport.of(at, KeyRing.parse("k", steps.get(i - 1))).members())
+            assertThat(PeerReport.fetch(at, KeyRing.parse("k", steps.get(i - 1))).members())
                     .hasSize(1);
         }
-        assertThatThrownBy(() -> PeerReport.of(at, KeyRing.parse("k", steps.get(0))))
+        assertThatThrownBy(() -> PeerReport.fetch(at, KeyRing.parse("k", steps.get(0))))
                 .isInstanceOf(IOException.class);
     }
 
@@ -437,18 +438,18 @@
      */
     @Test
     void aVerdictOfAStrangersKeyOrNameIsTurnedAway() throws Exception {
-        PeersConfig.Talk plain = talking("a", LONG).talk().orElseThrow();
+        PeersConfig.Network plain = talking("a", LONG).network().orElseThrow();
         SharingSettings terms =
                 new SharingSettings(Set.of("a", "h"), 0.25, 2, Duration.ofSeconds(1));
-        PeersConfig.Talk sharing =
-                new PeersConfig.Talk(
-                        plain.listen(),
-                        plain.advertised(),
+        PeersConfig.Network sharing =
+                new PeersConfig.Network(
+                        plain.listenAddress(),
+                        plain.advertisedAddress(),
                         plain.seeds(),
                         keys,
-                        plain.refresh(),
+                        plain.refreshInterval(),
                         true,
-                        plain.timing(),
+                        plain.swimSettings(),
                         true,
                         Optional.of(terms));
         Site site = site(new PeersConfig("a", Optional.of(sharing), Optional.empty(), 100, LONG));
@@ -459,11 +460,11 @@
         hand.send(verdict(KeyRing.parse("w", "1 " + "0c".repeat(32)), life, 2, "h", "s-0"));
         Site.await(() -> count(site, Name.PEER_REFUSED) == refused + 1);
         hand.send(verdict(keys, life, 3, "x", "s-0"));
-        Site.await(() -> report(site).figures().get("shared_turned_away") == 1);
-        assertThat(report(site).figures()).containsEntry("verdicts_held", 0L);
+        Site.await(() -> report(site).counters().get("shared_turned_away") == 1);
+        assertThat(report(site).counters()).containsEntry("verdicts_held", 0L);
         assertThat(ask(site, 0)).isEqualTo(200);
         hand.send(verdict(keys, life, 4, "h", "s-0"));
-        Site.await(() -> report(site).figures().get("verdicts_held") == 1);
+        Site.await(() -> report(site).counters().get("verdicts_held") == 1);
         assertThat(ask(site, 0)).as("its node is excluded now").isEqualTo(503);
     }
 
