--- a/src/main/java/cypressglade/peer/Codec.java
+++ b/src/main/java/cypressglade/peer/Codec.java
@@ -11,6 +11,7 @@
 import cypressglade.member.MemberUpdate;
 import cypressglade.member.Message;
 import cypressglade.share.Notice;
+import cypressglade.share.Notice.Fragment;
 import cypressglade.share.SharingProtocol;
 import cypressglade.share.Verdicts.Verdict;
 import java.io.ByteArrayOutputStream;
@@ -20,6 +21,7 @@
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -27,110 +29,119 @@
 import java.util.Optional;
 
 /**
- * What is said, in CBOR (RFC 8949): maps with names of one letter, in which a name that is not
- * known is skipped. Addresses are bytes, ages are milliseconds. What has another form, lacks a name
- * that it must have, or holds more than the bounds here, is an {@link IOException}; whether figures
- * make sense is not judged.
+ * Encodes and decodes the bodies of datagrams, transfer frames and snapshots as CBOR (RFC 8949).
+ *
+ * <p>Each body is a map with keys of one letter; decoders skip unknown keys. An address is a byte
+ * string (port, then IP address, both in network byte order) and an age is in milliseconds. A
+ * decoder throws {@link IOException} if a body is malformed, lacks a required key or exceeds one of
+ * the bounds below; it does not check whether values are plausible.
  */
 final class Codec {
-    /** Words that one body may hold. */
-    static final int MOST_WORDS = 12_288;
-
-    private static final int MOST_MEMBERS = 4096;
-    private static final int MOST_FIGURES = 64;
-    private static final int MOST_TEXT = 256;
-    private static final int MOST_DEPTH = 8;
-    private static final long MOST_AGE_MS = Duration.ofDays(10).toMillis();
-    private static final int MOST_PORT = 65_535;
-    private static final int MOST_VERDICTS = 8192;
-    private static final int MOST_WINDOWS = 64;
-    private static final int MOST_PIECES = 64;
-    private static final double MOST_UNITS = 1e12;
-    private static final long MOST_AT_MS = 253_402_300_799_000L; // the end of the year 9999
+    /** Maximum number of node observations in one body. */
+    static final int MAX_OBSERVATIONS = 12_288;
+
+    private static final int MAX_MEMBERS = 4096;
+    private static final int MAX_COUNTERS = 64;
+    private static final int MAX_TEXT_LENGTH = 256;
+    private static final int MAX_NESTING_DEPTH = 8;
+    private static final long MAX_AGE_MILLIS = Duration.ofDays(10).toMillis();
+    private static final int MAX_PORT = 65_535;
+    private static final int MAX_VERDICTS = 8192;
+    private static final int MAX_WINDOWS = 64;
+    private static final int MAX_FRAGMENTS = 64;
+    private static final double MAX_UNITS = 1e12;
+    private static final long MAX_TIMESTAMP_MILLIS = 253_402_300_799_000L; // end of the year 9999
     private static final CBORFactory CBOR =
             CBORFactory.builder()
                     .streamReadConstraints(
                             StreamReadConstraints.builder()
-                                    .maxNestingDepth(MOST_DEPTH)
-                                    .maxStringLength(MOST_TEXT)
-                                    .maxNameLength(MOST_TEXT)
+                                    .maxNestingDepth(MAX_NESTING_DEPTH)
+                                    .maxStringLength(MAX_TEXT_LENGTH)
+                                    .maxNameLength(MAX_TEXT_LENGTH)
                                     .build())
                     .build();
 
     private Codec() {}
 
-    /** Writes the members of one map. */
-    private interface Writing {
+    /** Writes the fields of one map. */
+    private interface MapWriter {
         void write(JsonGenerator out) throws IOException;
     }
 
     /**
-     * Takes one member of a map, whose value is the parser's current token; false where it is not
-     * known.
+     * Reads one field of a map; the parser's current token is the field's value. Returns false if
+     * the key is unknown, and the value is then skipped.
      */
-    private interface Reading {
+    private interface FieldReader {
         boolean read(String name, JsonParser in) throws IOException;
     }
 
-    private interface Item<T> {
+    /** Reads one item of a list; the parser's current token is the item. */
+    private interface ItemReader<T> {
         T read(JsonParser in) throws IOException;
     }
 
     // ---- bodies
 
-    static byte[] bytes(Envelope envelope) {
-        return body(
+    /** Encodes the body of a datagram. */
+    static byte[] encode(Envelope envelope) {
+        return encodeMap(
                 out -> {
-                    number(out, "f", envelope.from());
-                    number(out, "t", envelope.to());
-                    number(out, "n", envelope.number());
+                    writeNumber(out, "f", envelope.senderGeneration());
+                    writeNumber(out, "t", envelope.receiverGeneration());
+                    writeNumber(out, "n", envelope.sequenceNumber());
                     if (envelope.message().isPresent()) {
                         Message message = envelope.message().get();
-                        number(out, "k", message.kind().ordinal());
-                        number(out, "i", message.sequenceNumber());
+                        writeNumber(out, "k", message.kind().ordinal());
+                        writeNumber(out, "i", message.sequenceNumber());
                         if (!message.target().isEmpty()) {
-                            text(out, "g", message.target());
+                            writeText(out, "g", message.target());
                         }
                         if (message.targetAddress() != null) {
-                            address(out, message.targetAddress());
+                            writeAddress(out, message.targetAddress());
                         }
                         out.writeArrayFieldStart("u");
-                        for (MemberUpdate news : message.updates()) {
-                            member(out, news.member(), news.reportedBy());
+                        for (MemberUpdate update : message.updates()) {
+                            writeMember(out, update.member(), update.reportedBy());
                         }
                         out.writeEndArray();
                     }
                     if (envelope.notice().isPresent()) {
                         out.writeObjectFieldStart("s");
-                        notice(out, envelope.notice().get());
+                        writeNotice(out, envelope.notice().get());
                         out.writeEndObject();
                     }
                 });
     }
 
-    static Envelope envelope(byte[] body) throws IOException {
+    /**
+     * Decodes the body of a datagram.
+     *
+     * @throws IOException if the body is malformed
+     */
+    static Envelope decodeEnvelope(byte[] body) throws IOException {
         var read =
                 new Object() {
-                    long from, to, number, message;
+                    long senderGeneration, receiverGeneration, sequenceNumber, messageNumber;
                     int kind = -1;
                     String target = "";
-                    InetSocketAddress targetAt;
-                    List<MemberUpdate> news = List.of();
+                    InetSocketAddress targetAddress;
+                    List<MemberUpdate> updates = List.of();
                     Optional<Notice> notice = Optional.empty();
                 };
-        map(
+        decodeMap(
                 body,
                 (name, in) -> {
                     switch (name) {
-                        case "f" -> read.from = whole(in);
-                        case "t" -> read.to = whole(in);
-                        case "n" -> read.number = whole(in);
-                        case "k" -> read.kind = (int) whole(in);
-                        case "i" -> read.message = whole(in);
-                        case "g" -> read.target = text(in);
-                        case "a" -> read.targetAt = address(in);
-                        case "u" -> read.news = list(in, MOST_MEMBERS, Codec::news);
-                        case "s" -> read.notice = Optional.of(notice(in));
+                        case "f" -> read.senderGeneration = readLong(in);
+                        case "t" -> read.receiverGeneration = readLong(in);
+                        case "n" -> read.sequenceNumber = readLong(in);
+                        case "k" -> read.kind = (int) readLong(in);
+                        case "i" -> read.messageNumber = readLong(in);
+                        case "g" -> read.target = readText(in);
+                        case "a" -> read.targetAddress = readAddress(in);
+                        case "u" -> read.updates = readList(in, MAX_MEMBERS, Codec::readMember);
+                        case "s" -> read.notice = Optional.of(readNotice(in));
                         default -> {
                             return false;
                         }
@@ -138,233 +149,273 @@
                     return true;
                 });
         if (read.kind < 0) {
-            return new Envelope(read.from, read.to, read.number, Optional.empty(), read.notice);
+            return new Envelope(
+                    read.senderGeneration,
+                    read.receiverGeneration,
+                    read.sequenceNumber,
+                    Optional.empty(),
+                    read.notice);
         }
-        if (read.kind >= Message.Kind.values().length || read.news.isEmpty()) {
-            throw new IOException("a message of no known kind, or of nobody");
+        if (read.kind >= Message.Kind.values().length || read.updates.isEmpty()) {
+            throw new IOException("a message of an unknown kind, or without member updates");
         }
         return new Envelope(
-                read.from,
-                read.to,
-                read.number,
+                read.senderGeneration,
+                read.receiverGeneration,
+                read.sequenceNumber,
                 Optional.of(
                         new Message(
                                 Message.Kind.values()[read.kind],
-                                read.message,
+                                read.messageNumber,
                                 read.target,
-                                read.targetAt,
-                                read.news)),
+                                read.targetAddress,
+                                read.updates)),
                 read.notice);
     }
 
-    static byte[] bytes(Transfer transfer, Instant now) {
-        return body(
+    /** Encodes a transfer frame, with the ages of the observations at {@code now}. */
+    static byte[] encode(TransferFrame frame, Instant now) {
+        return encodeMap(
                 out -> {
-                    number(out, "n", transfer.nonce());
-                    number(out, "a", transfer.ask());
-                    number(out, "i", transfer.index());
-                    out.writeBooleanField("z", transfer.last());
+                    writeNumber(out, "n", frame.echoedNonce());
+                    writeNumber(out, "a", frame.clientNonce());
+                    writeNumber(out, "i", frame.index());
+                    out.writeBooleanField("z", frame.last());
                     out.writeArrayFieldStart("m");
-                    for (Member member : transfer.members()) {
-                        member(out, member, "");
+                    for (Member member : frame.members()) {
+                        writeMember(out, member, "");
                     }
                     out.writeEndArray();
-                    words(out, transfer.words(), now);
+                    writeObservations(out, frame.observations(), now);
                     out.writeObjectFieldStart("c");
-                    for (Map.Entry<String, Long> figure : transfer.figures().entrySet()) {
-                        number(out, figure.getKey(), figure.getValue());
+                    for (Map.Entry<String, Long> counter : frame.counters().entrySet()) {
+                        writeNumber(out, counter.getKey(), counter.getValue());
                     }
                     out.writeEndObject();
-                    verdicts(out, transfer.verdicts());
+                    writeVerdicts(out, frame.verdicts());
                 });
     }
 
-    static Transfer transfer(byte[] body, Instant now) throws IOException {
+    /**
+     * Decodes a transfer frame; the ages in it are taken as of {@code now}.
+     *
+     * @throws IOException if the body is malformed
+     */
+    static TransferFrame decodeTransfer(byte[] body, Instant now) throws IOException {
         var read =
                 new Object() {
-                    long nonce, ask;
+                    long echoedNonce, clientNonce;
                     int index;
                     boolean last;
                     List<Member> members = List.of();
-                    List<NodeObservation> words = List.of();
-                    final Map<String, Long> figures = new LinkedHashMap<>();
+                    List<NodeObservation> observations = List.of();
+                    final Map<String, Long> counters = new LinkedHashMap<>();
                     List<Verdict> verdicts = List.of();
                 };
-        map(
+        decodeMap(
                 body,
                 (name, in) -> {
                     switch (name) {
-                        case "n" -> read.nonce = whole(in);
-                        case "a" -> read.ask = whole(in);
+                        case "n" -> read.echoedNonce = readLong(in);
+                        case "a" -> read.clientNonce = readLong(in);
                         case "i" ->
-                                read.index = Math.toIntExact(bounded(whole(in), Integer.MAX_VALUE));
+                                read.index =
+                                        Math.toIntExact(bounded(readLong(in), Integer.MAX_VALUE));
                         case "z" -> read.last = in.getBooleanValue();
                         case "m" ->
-                                read.members = list(in, MOST_MEMBERS, each -> news(each).member());
-                        case "w" -> read.words = list(in, MOST_WORDS, each -> word(each, now));
+                                read.members =
+                                        readList(
+                                                in, MAX_MEMBERS, each -> readMember(each).member());
+                        case "w" ->
+                                read.observations =
+                                        readList(
+                                                in,
+                                                MAX_OBSERVATIONS,
+                                                each -> readObservation(each, now));
                         case "c" ->
-                                members(
+                                readFields(
                                         in,
-                                        (figure, value) -> {
-                                            if (read.figures.size() >= MOST_FIGURES) {
-                                                throw new IOException("too many figures");
+                                        (counter, value) -> {
+                                            if (read.counters.size() >= MAX_COUNTERS) {
+                                                throw new IOException("too many counters");
                                             }
-                                            read.figures.put(figure, whole(value));
+                                            read.counters.put(counter, readLong(value));
                                             return true;
                                         });
-                        case "v" -> read.verdicts = list(in, MOST_VERDICTS, Codec::verdict);
+                        case "v" -> read.verdicts = readList(in, MAX_VERDICTS, Codec::readVerdict);
                         default -> {
                             return false;
                         }
                     }
                     return true;
                 });
-        return new Transfer(
-                read.nonce,
-                read.ask,
+        return new TransferFrame(
+                read.echoedNonce,
+                read.clientNonce,
                 read.index,
                 read.last,
                 read.members,
-                read.words,
-                read.figures,
+                read.observations,
+                read.counters,
                 read.verdicts);
     }
 
-    /** Verdicts as a snapshot holds them. */
-    static byte[] verdicts(List<Verdict> verdicts) {
-        return body(out -> verdicts(out, verdicts));
+    /** Encodes verdicts for a snapshot. */
+    static byte[] encodeVerdicts(List<Verdict> verdicts) {
+        return encodeMap(out -> writeVerdicts(out, verdicts));
     }
 
-    static List<Verdict> verdicts(byte[] body) throws IOException {
+    /**
+     * Decodes a snapshot of verdicts.
+     *
+     * @throws IOException if the body is malformed
+     */
+    static List<Verdict> decodeVerdicts(byte[] body) throws IOException {
         List<Verdict> read = new ArrayList<>();
-        map(
+        decodeMap(
                 body,
                 (name, in) ->
-                        name.equals("v") && read.addAll(list(in, MOST_VERDICTS, Codec::verdict)));
+                        name.equals("v")
+                                && read.addAll(readList(in, MAX_VERDICTS, Codec::readVerdict)));
         return read;
     }
 
-    /** Words as a snapshot holds them, with the name of the instance whose snapshot it is. */
-    static byte[] snapshot(String name, List<NodeObservation> words, Instant now) {
-        return body(
+    /** Encodes observations for a snapshot, with the name of the instance that writes it. */
+    static byte[] encodeSnapshot(String name, List<NodeObservation> observations, Instant now) {
+        return encodeMap(
                 out -> {
-                    text(out, "s", name);
-                    words(out, words, now);
+                    writeText(out, "s", name);
+                    writeObservations(out, observations, now);
                 });
     }
 
-    /** A snapshot's words, each older by the given span; nothing where it is another instance's. */
-    static Optional<List<NodeObservation>> snapshot(
-            byte[] body, String name, Duration since, Instant now) throws IOException {
+    /**
+     * Decodes a snapshot of observations and adds the snapshot's age to the age of each. Returns
+     * empty if the snapshot was written by an instance of another name.
+     *
+     * @throws IOException if the body is malformed
+     */
+    static Optional<List<NodeObservation>> decodeSnapshot(
+            byte[] body, String name, Duration snapshotAge, Instant now) throws IOException {
         var read =
                 new Object() {
                     String name = "";
-                    List<NodeObservation> words = List.of();
+                    List<NodeObservation> observations = List.of();
                 };
-        map(
+        decodeMap(
                 body,
                 (field, in) -> {
                     switch (field) {
-                        case "s" -> read.name = text(in);
+                        case "s" -> read.name = readText(in);
                         case "w" ->
-                                read.words =
-                                        list(in, MOST_WORDS, each -> word(each, now.minus(since)));
+                                read.observations =
+                                        readList(
+                                                in,
+                                                MAX_OBSERVATIONS,
+                                                each ->
+                                                        readObservation(
+                                                                each, now.minus(snapshotAge)));
                         default -> {
                             return false;
                         }
                     }
                     return true;
                 });
-        return read.name.equals(name) ? Optional.of(read.words) : Optional.empty();
+        return read.name.equals(name) ? Optional.of(read.observations) : Optional.empty();
     }
 
-    // ---- what is shared
+    // ---- sharing of limits and verdicts
 
-    private static void notice(JsonGenerator out, Notice notice) throws IOException {
-        number(out, "d", notice.digest());
+    private static void writeNotice(JsonGenerator out, Notice notice) throws IOException {
+        writeNumber(out, "d", notice.digest());
         out.writeArrayFieldStart("h");
-        for (Map.Entry<Long, Long> held : notice.heldReports().entrySet()) {
-            out.writeNumber(held.getKey());
-            out.writeNumber(held.getValue());
+        for (Map.Entry<Long, Long> report : notice.heldReports().entrySet()) {
+            out.writeNumber(report.getKey());
+            out.writeNumber(report.getValue());
         }
         out.writeEndArray();
         out.writeArrayFieldStart("p");
-        for (Notice.Fragment piece : notice.fragments()) {
+        for (Fragment fragment : notice.fragments()) {
             out.writeStartObject();
-            text(out, "n", piece.name());
-            number(out, "w", piece.window());
-            number(out, "i", piece.index());
-            number(out, "o", piece.count());
-            number(out, "h", piece.aliveBits());
+            writeText(out, "n", fragment.name());
+            writeNumber(out, "w", fragment.window());
+            writeNumber(out, "i", fragment.index());
+            writeNumber(out, "o", fragment.count());
+            writeNumber(out, "h", fragment.aliveBits());
             out.writeObjectFieldStart("k");
-            for (Map.Entry<String, Double> wanted : piece.demand().entrySet()) {
-                out.writeNumberField(
-                        wanted.getKey(), wanted.getValue()); // whole: all have to reckon alike
+            for (Map.Entry<String, Double> entry : fragment.demand().entrySet()) {
+                // As double, not float, so that all members compute the same shares.
+                out.writeNumberField(entry.getKey(), entry.getValue());
             }
             out.writeEndObject();
             out.writeEndObject();
         }
         out.writeEndArray();
-        verdicts(out, notice.verdicts());
+        writeVerdicts(out, notice.verdicts());
     }
 
-    private static Notice notice(JsonParser in) throws IOException {
+    private static Notice readNotice(JsonParser in) throws IOException {
         var read =
                 new Object() {
                     long digest;
-                    List<Long> held = List.of();
-                    List<Notice.Fragment> pieces = List.of();
+                    List<Long> heldReports = List.of();
+                    List<Fragment> fragments = List.of();
                     List<Verdict> verdicts = List.of();
                 };
-        members(
+        readFields(
                 in,
                 (name, value) -> {
                     switch (name) {
-                        case "d" -> read.digest = whole(value);
-                        case "h" -> read.held = list(value, 2 * MOST_WINDOWS, Codec::whole);
-                        case "p" -> read.pieces = list(value, MOST_PIECES, Codec::piece);
-                        case "v" -> read.verdicts = list(value, MOST_VERDICTS, Codec::verdict);
+                        case "d" -> read.digest = readLong(value);
+                        case "h" ->
+                                read.heldReports =
+                                        readList(value, 2 * MAX_WINDOWS, Codec::readLong);
+                        case "p" ->
+                                read.fragments =
+                                        readList(value, MAX_FRAGMENTS, Codec::readFragment);
+                        case "v" ->
+                                read.verdicts = readList(value, MAX_VERDICTS, Codec::readVerdict);
                         default -> {
                             return false;
                         }
                     }
                     return true;
                 });
-        Map<Long, Long> held = new HashMap<>();
-        for (int i = 0; i + 1 < read.held.size(); i += 2) {
-            held.put(read.held.get(i), read.held.get(i + 1));
+        Map<Long, Long> heldReports = new HashMap<>();
+        for (int i = 0; i + 1 < read.heldReports.size(); i += 2) {
+            heldReports.put(read.heldReports.get(i), read.heldReports.get(i + 1));
         }
-        return new Notice(read.digest, held, read.pieces, read.verdicts);
+        return new Notice(read.digest, heldReports, read.fragments, read.verdicts);
     }
 
-    private static Notice.Fragment piece(JsonParser in) throws IOException {
+    private static Fragment readFragment(JsonParser in) throws IOException {
         var read =
                 new Object() {
                     String name = "";
-                    long window, number, of, heard;
-                    final Map<String, Double> wanted = new HashMap<>();
+                    long window, index, count, aliveBits;
+                    final Map<String, Double> demand = new HashMap<>();
                 };
-        members(
+        readFields(
                 in,
                 (name, value) -> {
                     switch (name) {
-                        case "n" -> read.name = text(value);
-                        case "w" -> read.window = whole(value);
-                        case "i" -> read.number = bounded(whole(value), MOST_PIECES);
-                        case "o" -> read.of = bounded(whole(value), MOST_PIECES);
-                        case "h" -> read.heard = whole(value);
+                        case "n" -> read.name = readText(value);
+                        case "w" -> read.window = readLong(value);
+                        case "i" -> read.index = bounded(readLong(value), MAX_FRAGMENTS);
+                        case "o" -> read.count = bounded(readLong(value), MAX_FRAGMENTS);
+                        case "h" -> read.aliveBits = readLong(value);
                         case "k" ->
-                                members(
+                                readFields(
                                         value,
                                         (key, units) -> {
-                                            double wanted = real(units);
-                                            if (!(wanted >= 0 && wanted < MOST_UNITS)
-                                                    || read.wanted.size()
+                                            double demand = readDouble(units);
+                                            if (!(demand >= 0 && demand < MAX_UNITS)
+                                                    || read.demand.size()
                                                             >= SharingProtocol.MAX_KEYS) {
                                                 throw new IOException(
-                                                        "a demand that is none, or too many");
+                                                        "a demand out of range, or too many");
                                             }
-                                            read.wanted.put(key, wanted);
+                                            read.demand.put(key, demand);
                                             return true;
                                         });
                         default -> {
@@ -373,42 +424,48 @@
                     }
                     return true;
                 });
-        return new Notice.Fragment(
-                read.name, read.window, (int) read.number, (int) read.of, read.heard, read.wanted);
+        return new Fragment(
+                read.name,
+                read.window,
+                (int) read.index,
+                (int) read.count,
+                read.aliveBits,
+                read.demand);
     }
 
-    private static void verdicts(JsonGenerator out, List<Verdict> verdicts) throws IOException {
+    private static void writeVerdicts(JsonGenerator out, List<Verdict> verdicts)
+            throws IOException {
         if (verdicts.isEmpty()) {
             return;
         }
         out.writeArrayFieldStart("v");
         for (Verdict verdict : verdicts) {
             out.writeStartObject();
-            text(out, "s", verdict.subject());
-            text(out, "w", verdict.action());
-            number(out, "a", verdict.issuedAt().toEpochMilli());
-            text(out, "b", verdict.issuer());
-            number(out, "n", verdict.sequence());
+            writeText(out, "s", verdict.subject());
+            writeText(out, "w", verdict.action());
+            writeNumber(out, "a", verdict.issuedAt().toEpochMilli());
+            writeText(out, "b", verdict.issuer());
+            writeNumber(out, "n", verdict.sequence());
             out.writeEndObject();
         }
         out.writeEndArray();
     }
 
-    private static Verdict verdict(JsonParser in) throws IOException {
+    private static Verdict readVerdict(JsonParser in) throws IOException {
         var read =
                 new Object() {
-                    String subject = "", word = "", by = "";
-                    long at, number;
+                    String subject = "", action = "", issuer = "";
+                    long issuedAt, sequence;
                 };
-        members(
+        readFields(
                 in,
                 (name, value) -> {
                     switch (name) {
-                        case "s" -> read.subject = text(value);
-                        case "w" -> read.word = text(value);
-                        case "a" -> read.at = bounded(whole(value), MOST_AT_MS);
-                        case "b" -> read.by = text(value);
-                        case "n" -> read.number = bounded(whole(value), Long.MAX_VALUE - 1);
+                        case "s" -> read.subject = readText(value);
+                        case "w" -> read.action = readText(value);
+                        case "a" -> read.issuedAt = bounded(readLong(value), MAX_TIMESTAMP_MILLIS);
+                        case "b" -> read.issuer = readText(value);
+                        case "n" -> read.sequence = bounded(readLong(value), Long.MAX_VALUE - 1);
                         default -> {
                             return false;
                         }
@@ -416,60 +473,66 @@
                     return true;
                 });
         if (read.subject.isEmpty()
-                || read.word.isEmpty()
+                || read.action.isEmpty()
                 || read.subject.length() > SharingProtocol.MAX_TEXT_LENGTH
-                || read.word.length() > SharingProtocol.MAX_TEXT_LENGTH) {
-            throw new IOException("a verdict on nothing, or of too many letters");
+                || read.action.length() > SharingProtocol.MAX_TEXT_LENGTH) {
+            throw new IOException(
+                    "a verdict without subject or action, or with one that is too long");
         }
         return new Verdict(
-                read.subject, read.word, Instant.ofEpochMilli(read.at), read.by, read.number);
+                read.subject,
+                read.action,
+                Instant.ofEpochMilli(read.issuedAt),
+                read.issuer,
+                read.sequence);
     }
 
-    // ---- words and members
+    // ---- observations and members
 
-    private static void words(JsonGenerator out, List<NodeObservation> words, Instant now)
-            throws IOException {
+    private static void writeObservations(
+            JsonGenerator out, List<NodeObservation> observations, Instant now) throws IOException {
         out.writeArrayFieldStart("w");
-        for (NodeObservation word : words) {
+        for (NodeObservation observation : observations) {
             out.writeStartObject();
-            text(out, "n", word.nodeId());
-            number(out, "t", word.startedMicros());
-            out.writeNumberField("p", (float) word.serviceTimePerUnitMicros());
-            out.writeNumberField("b", (float) word.backlogMicros());
-            out.writeNumberField("s", (float) word.latencyRatio());
-            out.writeNumberField("e", (float) word.errorRatio());
-            number(out, "a", word.answerCount());
-            number(out, "q", word.silentFor().toMillis());
-            number(out, "g", word.age(now).toMillis() + 1); // rounded up: it never looks younger
-            text(out, "o", word.origin().name());
-            number(out, "l", word.origin().generation());
+            writeText(out, "n", observation.nodeId());
+            writeNumber(out, "t", observation.startedMicros());
+            out.writeNumberField("p", (float) observation.serviceTimePerUnitMicros());
+            out.writeNumberField("b", (float) observation.backlogMicros());
+            out.writeNumberField("s", (float) observation.latencyRatio());
+            out.writeNumberField("e", (float) observation.errorRatio());
+            writeNumber(out, "a", observation.answerCount());
+            writeNumber(out, "q", observation.silentFor().toMillis());
+            // Rounded up, so that an observation never looks younger than it is.
+            writeNumber(out, "g", observation.age(now).toMillis() + 1);
+            writeText(out, "o", observation.origin().name());
+            writeNumber(out, "l", observation.origin().generation());
             out.writeEndObject();
         }
         out.writeEndArray();
     }
 
-    private static NodeObservation word(JsonParser in, Instant now) throws IOException {
+    private static NodeObservation readObservation(JsonParser in, Instant now) throws IOException {
         var read =
                 new Object() {
                     String node = "", origin = "";
-                    long started, answers, silent, age = -1, life;
-                    double pace = Double.NaN, backlog, strain, errors;
+                    long started, answers, silent, age = -1, generation;
+                    double serviceTime = Double.NaN, backlog, latencyRatio, errorRatio;
                 };
-        members(
+        readFields(
                 in,
                 (name, value) -> {
                     switch (name) {
-                        case "n" -> read.node = text(value);
-                        case "t" -> read.started = whole(value);
-                        case "p" -> read.pace = real(value);
-                        case "b" -> read.backlog = real(value);
-                        case "s" -> read.strain = real(value);
-                        case "e" -> read.errors = real(value);
-                        case "a" -> read.answers = whole(value);
-                        case "q" -> read.silent = bounded(whole(value), MOST_AGE_MS);
-                        case "g" -> read.age = bounded(whole(value), MOST_AGE_MS);
-                        case "o" -> read.origin = text(value);
-                        case "l" -> read.life = whole(value);
+                        case "n" -> read.node = readText(value);
+                        case "t" -> read.started = readLong(value);
+                        case "p" -> read.serviceTime = readDouble(value);
+                        case "b" -> read.backlog = readDouble(value);
+                        case "s" -> read.latencyRatio = readDouble(value);
+                        case "e" -> read.errorRatio = readDouble(value);
+                        case "a" -> read.answers = readLong(value);
+                        case "q" -> read.silent = bounded(readLong(value), MAX_AGE_MILLIS);
+                        case "g" -> read.age = bounded(readLong(value), MAX_AGE_MILLIS);
+                        case "o" -> read.origin = readText(value);
+                        case "l" -> read.generation = readLong(value);
                         default -> {
                             return false;
                         }
@@ -477,51 +540,52 @@
                     return true;
                 });
         if (read.age < 0) {
-            throw new IOException("a word without an age");
+            throw new IOException("an observation without an age");
         }
         return new NodeObservation(
                 read.node,
                 read.started,
-                read.pace,
+                read.serviceTime,
                 read.backlog,
-                read.strain,
-                read.errors,
+                read.latencyRatio,
+                read.errorRatio,
                 (int) Math.max(Integer.MIN_VALUE, Math.min(Integer.MAX_VALUE, read.answers)),
                 Duration.ofMillis(read.silent),
                 now.minusMillis(read.age),
-                new Origin(read.origin, read.life));
+                new Origin(read.origin, read.generation));
     }
 
-    private static void member(JsonGenerator out, Member member, String by) throws IOException {
+    private static void writeMember(JsonGenerator out, Member member, String reportedBy)
+            throws IOException {
         out.writeStartObject();
-        text(out, "n", member.name());
-        address(out, member.address());
-        number(out, "l", member.generation());
-        number(out, "i", member.incarnation());
-        number(out, "s", member.state().ordinal());
-        if (!by.isEmpty()) {
-            text(out, "b", by);
+        writeText(out, "n", member.name());
+        writeAddress(out, member.address());
+        writeNumber(out, "l", member.generation());
+        writeNumber(out, "i", member.incarnation());
+        writeNumber(out, "s", member.state().ordinal());
+        if (!reportedBy.isEmpty()) {
+            writeText(out, "b", reportedBy);
         }
         out.writeEndObject();
     }
 
-    private static MemberUpdate news(JsonParser in) throws IOException {
+    private static MemberUpdate readMember(JsonParser in) throws IOException {
         var read =
                 new Object() {
-                    String name = "", by = "";
+                    String name = "", reportedBy = "";
                     InetSocketAddress address;
-                    long life, incarnation, state = -1;
+                    long generation, incarnation, state = -1;
                 };
-        members(
+        readFields(
                 in,
                 (name, value) -> {
                     switch (name) {
-                        case "n" -> read.name = text(value);
-                        case "a" -> read.address = address(value);
-                        case "l" -> read.life = whole(value);
-                        case "i" -> read.incarnation = bounded(whole(value), Long.MAX_VALUE / 2);
-                        case "s" -> read.state = whole(value);
-                        case "b" -> read.by = text(value);
+                        case "n" -> read.name = readText(value);
+                        case "a" -> read.address = readAddress(value);
+                        case "l" -> read.generation = readLong(value);
+                        case "i" -> read.incarnation = bounded(readLong(value), Long.MAX_VALUE / 2);
+                        case "s" -> read.state = readLong(value);
+                        case "b" -> read.reportedBy = readText(value);
                         default -> {
                             return false;
                         }
@@ -532,41 +596,42 @@
                 || read.address == null
                 || read.state < 0
                 || read.state >= Member.State.values().length) {
-            throw new IOException("a member without name, address or state");
+            throw new IOException("a member without a name or address, or without a known state");
         }
         return new MemberUpdate(
                 new Member(
                         read.name,
                         read.address,
-                        read.life,
+                        read.generation,
                         read.incarnation,
                         Member.State.values()[(int) read.state]),
-                read.by);
+                read.reportedBy);
     }
 
     // ---- CBOR
 
-    private static byte[] body(Writing writing) {
+    private static byte[] encodeMap(MapWriter content) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = CBOR.createGenerator(bytes)) {
             out.writeStartObject();
-            writing.write(out);
+            content.write(out);
             out.writeEndObject();
         } catch (IOException impossible) {
-            throw new IllegalStateException("writing to memory", impossible);
+            throw new IllegalStateException("cannot write to memory", impossible);
         }
         return bytes.toByteArray();
     }
 
-    private static void number(JsonGenerator out, String name, long value) throws IOException {
+    private static void writeNumber(JsonGenerator out, String name, long value) throws IOException {
         out.writeNumberField(name, value);
     }
 
-    private static void text(JsonGenerator out, String name, String value) throws IOException {
+    private static void writeText(JsonGenerator out, String name, String value) throws IOException {
         out.writeStringField(name, value);
     }
 
-    private static void address(JsonGenerator out, InetSocketAddress address) throws IOException {
+    private static void writeAddress(JsonGenerator out, InetSocketAddress address)
+            throws IOException {
         byte[] ip = address.getAddress().getAddress();
         byte[] bytes = new byte[ip.length + 2];
         System.arraycopy(ip, 0, bytes, 2, ip.length);
@@ -575,89 +640,89 @@
         out.writeBinaryField("a", bytes);
     }
 
-    private static InetSocketAddress address(JsonParser in) throws IOException {
+    private static InetSocketAddress readAddress(JsonParser in) throws IOException {
         if (in.currentToken() != JsonToken.VALUE_EMBEDDED_OBJECT) {
-            throw new IOException("an address that is not bytes");
+            throw new IOException("an address that is not a byte string");
         }
         byte[] bytes = in.getBinaryValue();
         if (bytes.length != 6 && bytes.length != 18) {
             throw new IOException("an address of " + bytes.length + " bytes");
         }
         int port = (bytes[0] & 0xff) << 8 | bytes[1] & 0xff;
-        if (port == 0 || port > MOST_PORT) {
+        if (port == 0 || port > MAX_PORT) {
             throw new IOException("port 0");
         }
         return new InetSocketAddress(
-                InetAddress.getByAddress(java.util.Arrays.copyOfRange(bytes, 2, bytes.length)),
-                port);
+                InetAddress.getByAddress(Arrays.copyOfRange(bytes, 2, bytes.length)), port);
     }
 
-    private static void map(byte[] body, Reading reading) throws IOException {
+    private static void decodeMap(byte[] body, FieldReader reader) throws IOException {
         try (JsonParser in = CBOR.createParser(body)) {
             in.nextToken();
-            members(in, reading);
+            readFields(in, reader);
             if (in.nextToken() != null) {
-                throw new IOException("something follows the body");
+                throw new IOException("trailing data after the body");
             }
         }
     }
 
-    private static void members(JsonParser in, Reading reading) throws IOException {
+    private static void readFields(JsonParser in, FieldReader reader) throws IOException {
         if (in.currentToken() != JsonToken.START_OBJECT) {
-            throw new IOException("no map");
+            throw new IOException("not a map");
         }
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String name = in.currentName();
             if (in.nextToken() == null) {
-                throw new IOException("cut off");
+                throw new IOException("a truncated map");
             }
-            if (!reading.read(name, in)) {
+            if (!reader.read(name, in)) {
                 in.skipChildren();
             }
         }
         if (in.currentToken() != JsonToken.END_OBJECT) {
-            throw new IOException("cut off");
+            throw new IOException("a truncated map");
         }
     }
 
-    private static <T> List<T> list(JsonParser in, int most, Item<T> item) throws IOException {
+    private static <T> List<T> readList(JsonParser in, int max, ItemReader<T> item)
+            throws IOException {
         if (in.currentToken() != JsonToken.START_ARRAY) {
-            throw new IOException("no list");
+            throw new IOException("not a list");
         }
         List<T> items = new ArrayList<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
-            if (in.currentToken() == null || items.size() >= most) {
-                throw new IOException("a list that is cut off, or of over " + most);
+            if (in.currentToken() == null || items.size() >= max) {
+                throw new IOException("a list that is truncated, or longer than " + max);
             }
             items.add(item.read(in));
         }
         return items;
     }
 
-    private static long whole(JsonParser in) throws IOException {
+    private static long readLong(JsonParser in) throws IOException {
         if (in.currentToken() != JsonToken.VALUE_NUMBER_INT) {
-            throw new IOException("no whole number");
+            throw new IOException("not an integer");
         }
         return in.getLongValue();
     }
 
-    private static double real(JsonParser in) throws IOException {
+    private static double readDouble(JsonParser in) throws IOException {
         if (!in.currentToken().isNumeric()) {
-            throw new IOException("no number");
+            throw new IOException("not a number");
         }
         return in.getDoubleValue();
     }
 
-    private static String text(JsonParser in) throws IOException {
+    private static String readText(JsonParser in) throws IOException {
         if (in.currentToken() != JsonToken.VALUE_STRING) {
-            throw new IOException("no text");
+            throw new IOException("not a text string");
         }
         return in.getText();
     }
 
-    private static long bounded(long value, long most) throws IOException {
-        if (value < 0 || value > most) {
-            throw new IOException("a number below 0 or over " + most);
+    private static long bounded(long value, long max) throws IOException {
+        if (value < 0 || value > max) {
+            throw new IOException("a number below 0 or above " + max);
         }
         return value;
     }
--- a/src/main/java/cypressglade/peer/Envelope.java
+++ b/src/main/java/cypressglade/peer/Envelope.java
@@ -5,23 +5,31 @@
 import java.util.Optional;
 
 /**
- * A datagram's body. One without a message tells the life of its sender to somebody who named
- * another.
+ * The body of a datagram. One without message and notice tells the sender's generation to a peer
+ * that addressed another generation.
  *
- * @param from life of the sender
- * @param to life of the receiver, 0 where the sender does not know it
- * @param number counts up with each datagram of the sender
- * @param message of the membership
- * @param notice of what is shared
+ * @param senderGeneration generation of the sender, never 0
+ * @param receiverGeneration generation of the receiver, 0 if the sender does not know it
+ * @param sequenceNumber increases with each datagram of the sender
+ * @param message membership message, if any
+ * @param notice message about shared limits and verdicts, if any
  */
 record Envelope(
-        long from, long to, long number, Optional<Message> message, Optional<Notice> notice) {
-    Envelope(long from, long to, long number, Optional<Message> message) {
-        this(from, to, number, message, Optional.empty());
+        long senderGeneration,
+        long receiverGeneration,
+        long sequenceNumber,
+        Optional<Message> message,
+        Optional<Notice> notice) {
+    Envelope(
+            long senderGeneration,
+            long receiverGeneration,
+            long sequenceNumber,
+            Optional<Message> message) {
+        this(senderGeneration, receiverGeneration, sequenceNumber, message, Optional.empty());
     }
 
-    /** Whether it says anything but who its sender is. */
-    boolean says() {
+    /** Whether the envelope carries a message or a notice. */
+    boolean hasContent() {
         return message.isPresent() || notice.isPresent();
     }
 }
--- a/src/main/java/cypressglade/peer/PeerReport.java
+++ b/src/main/java/cypressglade/peer/PeerReport.java
@@ -19,23 +19,25 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * What a running instance says of its peers and of what it knows, asked for with the key as a peer
- * asks.
+ * The members and node observations that a running instance knows, fetched by a transfer with the
+ * key, as peers do.
  *
- * @param members the instance asked is the first
- * @param requestedAt when it was asked for; ages are told from here
+ * @param members the instance that answered comes first
+ * @param observations observations of nodes, the instance's own and those of its peers
+ * @param counters counters by name
+ * @param requestedAt when the report was requested; ages are computed as of then
  */
 public record PeerReport(
         List<Member> members,
         List<NodeObservation> observations,
         Map<String, Long> counters,
         Instant requestedAt) {
-    private static final int MOST_WORDS = 4096;
+    private static final int MAX_OBSERVATIONS = 4096;
 
     /**
-     * Asks.
+     * Fetches the report of an instance; blocks for up to twice {@link TransferClient#TIMEOUT}.
      *
-     * @throws IOException where no whole answer came, saying what did
+     * @throws IOException if no complete answer was received; the message says why
      */
     public static PeerReport fetch(InetSocketAddress instance, KeyRing keys) throws IOException {
         CompletableFuture<PeerReport> done = new CompletableFuture<>();
@@ -50,7 +52,7 @@
                             loop, Optional.empty(), Runnable::run, new SecureRandom(), () -> keys)
                     .pull(
                             instance,
-                            MOST_WORDS,
+                            MAX_OBSERVATIONS,
                             new TransferClient.Listener() {
                                 @Override
                                 public List<Member> members() {
@@ -58,14 +60,14 @@
                                 }
 
                                 @Override
-                                public void came(Transfer frame) {
+                                public void frameReceived(TransferFrame frame) {
                                     report.members.addAll(frame.members());
-                                    report.observations.addAll(frame.words());
-                                    report.counters.putAll(frame.figures());
+                                    report.observations.addAll(frame.observations());
+                                    report.counters.putAll(frame.counters());
                                 }
 
                                 @Override
-                                public void over(String fault) {
+                                public void finished(String fault) {
                                     if (fault.isEmpty()) {
                                         done.complete(report);
                                     } else {
@@ -73,21 +75,21 @@
                                     }
                                 }
                             });
-            return done.get(2 * TransferClient.MOST.toMillis(), TimeUnit.MILLISECONDS);
+            return done.get(2 * TransferClient.TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException failed) {
-            Throwable why = failed.getCause() == null ? failed : failed.getCause();
+            Throwable cause = failed.getCause() == null ? failed : failed.getCause();
             throw new IOException(
                     "no report from "
                             + instance.getHostString()
                             + ":"
                             + instance.getPort()
                             + ": "
-                            + why.getMessage()
+                            + cause.getMessage()
                             + "; is it running, with the same key file?",
-                    why);
-        } catch (InterruptedException cut) {
+                    cause);
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted", cut);
+            throw new IOException("interrupted", interrupted);
         }
     }
 }
--- a/src/main/java/cypressglade/peer/Peers.java
+++ b/src/main/java/cypressglade/peer/Peers.java
@@ -1,12 +1,11 @@
 package cypressglade.peer;
 
-import static cypressglade.member.ReplayGuard.Verdict.UNKNOWN_GENERATION;
-
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import cypressglade.core.Counters;
 import cypressglade.core.Counters.Name;
-import cypressglade.core.DemandTracker;
+import cypressglade.core.DemandTracker.ColdNode;
 import cypressglade.core.Engine;
+import cypressglade.core.Engine.LimitAllocation;
 import cypressglade.core.MonotonicClock;
 import cypressglade.core.NodeStatus;
 import cypressglade.fleet.View;
@@ -20,6 +19,9 @@
 import cypressglade.member.Swim;
 import cypressglade.net.Datagrams;
 import cypressglade.net.Loop;
+import cypressglade.peer.PeersConfig.Network;
+import cypressglade.peer.SealedMessage.Fault;
+import cypressglade.peer.SealedMessage.RejectedException;
 import cypressglade.share.Allocation;
 import cypressglade.share.Notice;
 import cypressglade.share.ShareKey;
@@ -58,117 +60,128 @@
 import java.util.stream.Collectors;
 
 /**
- * What this instance has to do with others, and with its own former life. One thread owns the
- * membership, what was learned, and the replay guard; the I/O thread only hands over bytes, and a
- * second thread writes snapshots, as a slow disk must not look like a dead instance.
+ * Exchanges data with the other instances, and restores what this instance had learned before it
+ * was restarted. One thread owns the membership, the observations and the replay guard. The I/O
+ * thread only passes bytes to it, and a second thread writes snapshots, so that a slow disk does
+ * not make this instance look dead.
  */
 public final class Peers implements AutoCloseable {
     private static final System.Logger LOG = System.getLogger(Peers.class.getName());
-    // A silence of one request lasts longer.
-    private static final Duration LOOK = Duration.ofMillis(250);
-    private static final long VIEW_WAIT_MS = 500; // half of what a caller at the door waits
-    private static final Duration CENSUS_HOLD = Duration.ofSeconds(30);
-    private static final Duration STOP_WAIT = Duration.ofMillis(500);
-    private static final int MOST_WAITING = 256;
-    private static final int MOST_PULLS = 3;
-    private static final int WORDS_A_NODE = 3;
-    private static final int WORDS_A_FRAME = 200;
-    private static final int MEMBERS_A_FRAME = 200;
-    private static final int BIND_TRIES = 8;
-    private static final int MOST_HELD = 64;
-    // Between two looks: to unknown lives and versions.
-    private static final int MOST_SHORT_ANSWERS = 50;
+    // Shorter than the silence that a single request reveals, so that none is missed.
+    private static final Duration OBSERVE_INTERVAL = Duration.ofMillis(250);
+    // Half of the time for which an operator connection waits for an answer.
+    private static final long MAX_VIEW_WAIT_MILLIS = 500;
+    private static final Duration ABSENT_MEMBER_HOLD = Duration.ofSeconds(30);
+    private static final Duration MAX_CLOSE_WAIT = Duration.ofMillis(500);
+    private static final int MAX_QUEUED_EVENTS = 256;
+    private static final int MAX_PULLS = 3;
+    private static final int OBSERVATIONS_PER_NODE = 3;
+    private static final int OBSERVATIONS_PER_FRAME = 200;
+    private static final int MEMBERS_PER_FRAME = 200;
+    private static final int MAX_BIND_ATTEMPTS = 8;
+    private static final int MAX_UNCONFIRMED_MESSAGES = 64;
+    // Replies to unknown generations and versions, per OBSERVE_INTERVAL.
+    private static final int MAX_SHORT_REPLIES = 50;
 
     private final PeersConfig config;
     private final Loop loop;
     private final Engine engine;
     private final Counters counters;
     private final SecureRandom random = new SecureRandom();
-    private final ScheduledExecutorService owner =
+    private final ScheduledExecutorService protocolExecutor =
             Executors.newSingleThreadScheduledExecutor(task -> daemon(task, "peers"));
-    private final ScheduledExecutorService disk =
+    private final ScheduledExecutorService diskExecutor =
             Executors.newSingleThreadScheduledExecutor(task -> daemon(task, "snapshots"));
-    private final AtomicInteger waiting = new AtomicInteger();
+    private final AtomicInteger queuedEvents = new AtomicInteger();
     private final AtomicBoolean closing = new AtomicBoolean();
-    private final CountDownLatch learned = new CountDownLatch(1);
-    private final Consumer<Verdict> ruling;
-    private final Optional<SnapshotStore> store;
-    private final Optional<SnapshotStore> verdicts;
+    private final CountDownLatch startupDone = new CountDownLatch(1);
+    private final Consumer<Verdict> verdictListener;
+    private final Optional<SnapshotStore> learnedStore;
+    private final Optional<SnapshotStore> verdictStore;
     private volatile KeyRing keys;
     private volatile List<Member> members = List.of();
 
-    // The owner's alone, from the start on.
-    private final long life;
+    // Used only by the peers' thread once start() has begun.
+    private final long generation;
     private final Learner learner;
     private final ReplayGuard guard;
-    private final Map<Learner.Count, Long> told = new EnumMap<>(Learner.Count.class);
-    private final Set<InetSocketAddress> pulls = new HashSet<>();
-    private final Map<InetSocketAddress, Message> held = new LinkedHashMap<>();
-    private final Set<Sealed.Fault> logged = new HashSet<>();
-    private RecentMembers census;
-    private RecentMembers.Share share = new RecentMembers.Share(0, 1);
+    private final Map<Learner.Count, Long> publishedCounts = new EnumMap<>(Learner.Count.class);
+    private final Set<InetSocketAddress> activePulls = new HashSet<>();
+    private final Map<InetSocketAddress, Message> unconfirmed = new LinkedHashMap<>();
+    private final Set<Fault> loggedFaults = new HashSet<>();
+    private RecentMembers recentMembers;
+    private RecentMembers.Share coldNodeShare = new RecentMembers.Share(0, 1);
     private Swim swim;
     private Optional<View> view = Optional.empty();
     private Optional<SharingProtocol<InetSocketAddress>> sharing = Optional.empty();
     private Datagrams datagrams;
-    private TransferServer transfers;
-    private TransferClient client;
-    private int shortAnswers;
+    private TransferServer transferServer;
+    private TransferClient transferClient;
+    private int shortReplies;
     private boolean closed;
 
+    /** Creates the peers without a listener for verdicts. */
     public Peers(PeersConfig config, Loop loop, Engine engine, Counters counters) {
         this(config, loop, engine, counters, verdict -> {});
     }
 
     /**
-     * The same, with somebody who acts on what operators decided at other members, and at this one
-     * in its former life; told on the owner's thread.
+     * Creates the peers with a listener for verdicts: those that operators gave at other members,
+     * and those given at this one before it was restarted.
+     *
+     * @param verdictListener called on the peers' thread
      */
     public Peers(
             PeersConfig config,
             Loop loop,
             Engine engine,
             Counters counters,
-            Consumer<Verdict> ruling) {
+            Consumer<Verdict> verdictListener) {
         this.config = config;
-        this.ruling = ruling;
+        this.verdictListener = verdictListener;
         this.loop = loop;
         this.engine = engine;
         this.counters = counters;
-        long drawn = random.nextLong();
-        life = drawn == 0 ? 1 : drawn; // 0 stands for a life that is not known
-        learner = new Learner(new Origin(config.name(), life), config.maxNodes());
-        guard = new ReplayGuard(life);
-        store = config.snapshots().map(kept -> new SnapshotStore(kept.directory(), "learned"));
-        verdicts =
+        long randomNumber = random.nextLong();
+        generation = randomNumber == 0 ? 1 : randomNumber; // 0 means an unknown generation
+        learner = new Learner(new Origin(config.name(), generation), config.maxNodes());
+        guard = new ReplayGuard(generation);
+        learnedStore =
+                config.snapshots()
+                        .map(snapshots -> new SnapshotStore(snapshots.directory(), "learned"));
+        verdictStore =
                 config.snapshots()
-                        .filter(kept -> shares(config))
-                        .map(kept -> new SnapshotStore(kept.directory(), "verdicts"));
-        keys = config.network().map(PeersConfig.Network::keys).orElse(null);
+                        .filter(snapshots -> isSharing(config))
+                        .map(snapshots -> new SnapshotStore(snapshots.directory(), "verdicts"));
+        keys = config.network().map(Network::keys).orElse(null);
     }
 
-    private static boolean shares(PeersConfig config) {
-        return config.network().flatMap(PeersConfig.Network::sharingSettings).isPresent();
+    private static boolean isSharing(PeersConfig config) {
+        return config.network().flatMap(Network::sharingSettings).isPresent();
     }
 
-    /** Whether limits and verdicts are shared. */
+    /** Whether this instance shares limits and verdicts with others. */
     public boolean sharesLimits() {
-        return shares(config);
+        return isSharing(config);
     }
 
     /**
-     * An operator decided at this instance: all members are told. Returns at once, from any thread;
-     * nothing happens where verdicts are not shared.
+     * Announces an operator's verdict to all members. Returns at once and may be called from any
+     * thread; does nothing if verdicts are not shared.
+     *
+     * @param subject what the verdict is about
+     * @param action what the operator decided
      */
-    public void announceVerdict(String subject, String word) {
+    public void announceVerdict(String subject, String action) {
         execute(
                 () ->
                         sharing.ifPresent(
-                                kept -> {
-                                    say(
-                                            kept.issueVerdict(subject, word, MonotonicClock.now()),
+                                protocol -> {
+                                    logVerdict(
+                                            protocol.issueVerdict(
+                                                    subject, action, MonotonicClock.now()),
                                             "verdict");
-                                    keepVerdicts(kept);
+                                    storeVerdicts(protocol);
                                 }));
     }
 
@@ -179,108 +192,111 @@
     }
 
     /**
-     * Reads the snapshot, opens the port and asks the seeds; returns once something was learned, or
-     * after the bound of the configuration.
+     * Reads the snapshots, opens the port and asks the seeds for their observations. Returns once
+     * the first transfer has ended, or after the configured maximum wait.
      *
-     * @throws IOException where the port cannot be had
+     * @throws IOException if the port cannot be bound
      */
     public void start() throws IOException {
-        recall();
+        restoreSnapshot();
         if (config.network().isPresent()) {
-            warm();
-            open(config.network().get());
+            warmUp();
+            openNetwork(config.network().get());
         } else {
-            learned.countDown();
+            startupDone.countDown();
         }
-        owner.scheduleWithFixedDelay(
-                guarded(this::look), 0, LOOK.toMillis(), TimeUnit.MILLISECONDS);
+        protocolExecutor.scheduleWithFixedDelay(
+                guarded(this::observeNodes), 0, OBSERVE_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
         config.snapshots()
                 .ifPresent(
-                        kept ->
-                                owner.scheduleWithFixedDelay(
+                        snapshots ->
+                                protocolExecutor.scheduleWithFixedDelay(
                                         guarded(
                                                 () -> {
-                                                    byte[] body = body();
-                                                    disk.execute(() -> write(body));
+                                                    byte[] body = snapshotBody();
+                                                    diskExecutor.execute(() -> writeSnapshot(body));
                                                 }),
-                                        kept.interval().toMillis(),
-                                        kept.interval().toMillis(),
+                                        snapshots.interval().toMillis(),
+                                        snapshots.interval().toMillis(),
                                         TimeUnit.MILLISECONDS));
         try {
-            learned.await(config.maxStartWait().toMillis(), TimeUnit.MILLISECONDS);
-        } catch (InterruptedException stopped) {
+            startupDone.await(config.maxStartWait().toMillis(), TimeUnit.MILLISECONDS);
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Loads what the first transfer needs, so that the wait for a peer is not spent on that. */
-    private void warm() throws IOException {
+    /** Loads the classes that a transfer needs, so that the wait for a peer is not spent on it. */
+    private void warmUp() throws IOException {
         Instant now = MonotonicClock.now();
-        NodeObservation word =
+        NodeObservation observation =
                 new NodeObservation("warm", 0, 1, 0, 0, 0, 0, Duration.ZERO, now, learner.self());
         try {
             byte[] body =
-                    Codec.bytes(
-                            new Transfer(0, 0, 0, true, List.of(), List.of(word), Map.of()), now);
-            Codec.transfer(Sealed.open(keys, Sealed.seal(keys, body)), now);
-        } catch (Sealed.Refused never) {
-            throw new IllegalStateException("the own signature", never);
+                    Codec.encode(
+                            new TransferFrame(
+                                    0, 0, 0, true, List.of(), List.of(observation), Map.of()),
+                            now);
+            Codec.decodeTransfer(SealedMessage.open(keys, SealedMessage.seal(keys, body)), now);
+        } catch (RejectedException impossible) {
+            throw new IllegalStateException("own signature rejected", impossible);
         }
     }
 
-    /** Where others reach this instance. */
+    /** The address that the peers' port is bound to; empty if this instance runs alone. */
     public Optional<InetSocketAddress> address() {
-        return Optional.ofNullable(transfers).map(TransferServer::address);
+        return Optional.ofNullable(transferServer).map(TransferServer::address);
     }
 
     /**
-     * Whom this instance sees, itself first; from any thread, at most a quarter of a second old.
+     * The members that this instance knows, itself first; empty if it runs alone. May be called
+     * from any thread; the list is at most 250 ms old.
      */
     public List<Member> members() {
         return members;
     }
 
     /**
-     * What this instance sees of the fleet, as one line of JSON, or nothing where no view is kept
-     * or none came in time: from any thread but the I/O thread, as it waits {@value #VIEW_WAIT_MS}
-     * ms at most.
+     * This instance's view of the fleet, as one line of JSON; empty if no view is kept or none was
+     * ready in time. Waits up to {@value #MAX_VIEW_WAIT_MILLIS} ms, so it must not be called from
+     * the I/O thread.
      */
     public Optional<String> fleetViewJson() {
         if (config.network().isEmpty() || !config.network().get().keepsFleetView()) {
             return Optional.empty();
         }
-        CompletableFuture<Optional<String>> said = new CompletableFuture<>();
+        CompletableFuture<Optional<String>> answer = new CompletableFuture<>();
         execute(
                 () ->
-                        said.complete(
+                        answer.complete(
                                 view.map(
-                                        kept -> {
-                                            ObjectNode whole =
-                                                    kept.toJson(swim, MonotonicClock.now());
+                                        fleetView -> {
+                                            ObjectNode json =
+                                                    fleetView.toJson(swim, MonotonicClock.now());
                                             sharing.ifPresent(
-                                                    shared -> SharedLines.add(whole, shared));
-                                            return whole.toString();
+                                                    shared -> SharingJson.addTo(json, shared));
+                                            return json.toString();
                                         })));
         try {
-            return said.get(VIEW_WAIT_MS, TimeUnit.MILLISECONDS);
-        } catch (ExecutionException | TimeoutException late) {
-            LOG.log(Level.DEBUG, "no view in time", late);
-        } catch (InterruptedException cut) {
+            return answer.get(MAX_VIEW_WAIT_MILLIS, TimeUnit.MILLISECONDS);
+        } catch (ExecutionException | TimeoutException failed) {
+            LOG.log(Level.DEBUG, "fleet view not ready in time", failed);
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
         return Optional.empty();
     }
 
-    /** Takes the keys of a new configuration; the rest of it changes with a restart. */
+    /** Applies the keys of a new configuration; other changes need a restart. */
     public void applyConfig(PeersConfig next) {
-        next.network().ifPresent(talk -> keys = talk.keys());
+        next.network().ifPresent(network -> keys = network.keys());
         if (!next.name().equals(config.name())
                 || next.network().isPresent() != config.network().isPresent()) {
-            LOG.log(Level.WARNING, "of the peers' file, keys alone change without a restart");
+            LOG.log(Level.WARNING, "only the keys of the peers' file change without a restart");
         }
     }
 
-    /** Leaves in order and writes a last snapshot; waits a moment for both. */
+    /** Announces that this instance leaves and writes a last snapshot; waits briefly for both. */
     @Override
     public void close() {
         if (!closing.compareAndSet(false, true)) {
@@ -293,202 +309,216 @@
                     if (swim != null) {
                         swim.leave(MonotonicClock.now());
                     }
-                    byte[] body = body();
-                    disk.execute(
+                    byte[] body = snapshotBody();
+                    diskExecutor.execute(
                             () -> {
-                                write(body);
+                                writeSnapshot(body);
                                 done.countDown();
                             });
                 });
         try {
-            done.await(STOP_WAIT.toMillis(), TimeUnit.MILLISECONDS);
-        } catch (InterruptedException cut) {
+            done.await(MAX_CLOSE_WAIT.toMillis(), TimeUnit.MILLISECONDS);
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
-        owner.shutdownNow();
-        disk.shutdown();
-        if (transfers != null) {
-            transfers.close();
+        protocolExecutor.shutdownNow();
+        diskExecutor.shutdown();
+        if (transferServer != null) {
+            transferServer.close();
             datagrams.close();
         }
     }
 
-    // ---- the owner's thread
+    // ---- the peers' thread
 
     private void execute(Runnable task) {
         try {
-            owner.execute(guarded(task));
-        } catch (RejectedExecutionException closing) {
-            LOG.log(Level.DEBUG, "peers are closed", closing);
+            protocolExecutor.execute(guarded(task));
+        } catch (RejectedExecutionException afterClose) {
+            LOG.log(Level.DEBUG, "peers are closed", afterClose);
         }
     }
 
     /**
-     * Hands over what came from outside; false, and counted, where too much waits: bounds memory.
+     * Queues an event from outside. To bound memory, returns false and counts the event as dropped
+     * if the queue is full.
      */
     private boolean enqueue(Runnable task) {
-        if (waiting.incrementAndGet() > MOST_WAITING) {
-            waiting.decrementAndGet();
+        if (queuedEvents.incrementAndGet() > MAX_QUEUED_EVENTS) {
+            queuedEvents.decrementAndGet();
             counters.add(Name.PEER_DROPPED);
             return false;
         }
         execute(
                 () -> {
-                    waiting.decrementAndGet();
+                    queuedEvents.decrementAndGet();
                     task.run();
                 });
         return true;
     }
 
-    /** A fault in one event must not end those to come. */
+    /** Logs an exception of a task, so that it does not stop later tasks. */
     private Runnable guarded(Runnable task) {
         return () -> {
             try {
                 task.run();
-            } catch (RuntimeException fault) {
-                LOG.log(Level.ERROR, "peers", fault);
+            } catch (RuntimeException failure) {
+                LOG.log(Level.ERROR, "failure in a task of the peers' thread", failure);
             }
         };
     }
 
-    private void open(PeersConfig.Network talk) throws IOException {
-        bind(talk.listenAddress());
-        InetSocketAddress at = talk.advertisedAddress().orElse(transfers.address());
+    private void openNetwork(Network network) throws IOException {
+        bind(network.listenAddress());
+        InetSocketAddress at = network.advertisedAddress().orElse(transferServer.address());
         Optional<InetSocketAddress> local =
-                Optional.of(talk.listenAddress())
+                Optional.of(network.listenAddress())
                         .filter(listen -> !listen.getAddress().isAnyLocalAddress())
                         .map(listen -> new InetSocketAddress(listen.getAddress(), 0));
-        client = new TransferClient(loop, local, this::execute, random, () -> keys);
-        census = new RecentMembers(config.name(), CENSUS_HOLD);
+        transferClient = new TransferClient(loop, local, this::execute, random, () -> keys);
+        recentMembers = new RecentMembers(config.name(), ABSENT_MEMBER_HOLD);
         Instant now = MonotonicClock.now();
         swim =
                 new Swim(
-                        new Member(config.name(), at, life, 0, Member.State.ALIVE),
-                        talk.seeds(),
-                        talk.swimSettings(),
+                        new Member(config.name(), at, generation, 0, Member.State.ALIVE),
+                        network.seeds(),
+                        network.swimSettings(),
                         random,
-                        new Wiring(),
+                        new SwimCallbacks(),
                         now);
-        view = talk.keepsFleetView() ? Optional.of(new View(config.name(), now)) : Optional.empty();
+        view =
+                network.keepsFleetView()
+                        ? Optional.of(new View(config.name(), now))
+                        : Optional.empty();
         sharing =
-                talk.sharingSettings()
+                network.sharingSettings()
                         .map(
-                                terms ->
+                                settings ->
                                         new SharingProtocol<>(
                                                 config.name(),
-                                                terms,
+                                                settings,
                                                 engine.coldWindow(),
-                                                recallVerdicts(),
+                                                loadVerdicts(),
                                                 random,
-                                                new Shared(terms),
+                                                new SharingCallbacks(settings),
                                                 now));
         execute(
                 () -> {
-                    talk.seeds().stream().filter(seed -> !seed.equals(at)).forEach(this::pull);
-                    if (pulls.isEmpty()) {
-                        learned.countDown(); // nobody to learn from
+                    network.seeds().stream().filter(seed -> !seed.equals(at)).forEach(this::pull);
+                    if (activePulls.isEmpty()) {
+                        startupDone.countDown(); // there is no seed to learn from
                     }
-                    repeat(() -> swim.tick(MonotonicClock.now()), swim::nextTickAt);
-                    sharing.ifPresent(this::begin);
+                    runAndReschedule(() -> swim.tick(MonotonicClock.now()), swim::nextTickAt);
+                    sharing.ifPresent(this::startSharing);
                 });
-        owner.scheduleWithFixedDelay(
-                guarded(this::refresh),
-                talk.refreshInterval().toMillis(),
-                talk.refreshInterval().toMillis(),
+        protocolExecutor.scheduleWithFixedDelay(
+                guarded(this::pullFromRandomMember),
+                network.refreshInterval().toMillis(),
+                network.refreshInterval().toMillis(),
                 TimeUnit.MILLISECONDS);
     }
 
-    private void begin(SharingProtocol<InetSocketAddress> kept) {
-        kept.start();
-        // past the edge of its window
-        repeat(() -> tick(kept), () -> kept.nextTick(MonotonicClock.now()).plusMillis(1));
+    private void startSharing(SharingProtocol<InetSocketAddress> protocol) {
+        protocol.start();
+        // 1 ms later, to be past the edge of the window.
+        runAndReschedule(
+                () -> tickSharing(protocol),
+                () -> protocol.nextTick(MonotonicClock.now()).plusMillis(1));
     }
 
-    private void tick(SharingProtocol<InetSocketAddress> kept) {
+    private void tickSharing(SharingProtocol<InetSocketAddress> protocol) {
         Map<String, InetSocketAddress> present =
                 swim.presentMembers().stream()
                         .collect(
                                 Collectors.toMap(
                                         Member::name, Member::address, (one, other) -> one));
-        kept.tick(present, MonotonicClock.now());
+        protocol.tick(present, MonotonicClock.now());
     }
 
-    /** Both sockets have one port; where it is any, the one that TCP got may be taken on UDP. */
+    /**
+     * Binds TCP and UDP to the same port. If the port is to be chosen by the system, the one chosen
+     * for TCP may be in use for UDP, and another is tried.
+     */
     private void bind(InetSocketAddress listen) throws IOException {
-        for (int i = 1; transfers == null; i++) {
-            TransferServer server = new TransferServer(loop, listen, random, this::asked);
+        for (int i = 1; transferServer == null; i++) {
+            TransferServer server =
+                    new TransferServer(loop, listen, random, this::transferRequested);
             try {
-                datagrams = loop.datagrams(server.address(), this::received);
-                transfers = server;
-            } catch (IOException taken) {
+                datagrams = loop.datagrams(server.address(), this::datagramReceived);
+                transferServer = server;
+            } catch (IOException bindFailed) {
                 server.close();
-                if (listen.getPort() != 0 || i >= BIND_TRIES) {
+                if (listen.getPort() != 0 || i >= MAX_BIND_ATTEMPTS) {
                     throw new IOException(
-                            "peers: cannot listen on " + listen + " (UDP): " + taken.getMessage(),
-                            taken);
+                            "peers: cannot listen on "
+                                    + listen
+                                    + " (UDP): "
+                                    + bindFailed.getMessage(),
+                            bindFailed);
                 }
             }
         }
     }
 
-    /**
-     * Looks, and plans the next look; also where this one had a fault, as it must not be the last.
-     */
-    private void repeat(Runnable look, Supplier<Instant> due) {
-        Instant next =
-                MonotonicClock.now().plus(LOOK); // after a fault, which may come again at once
+    /** Runs a task and schedules its next run, also if this one fails. */
+    private void runAndReschedule(Runnable task, Supplier<Instant> nextRunAt) {
+        // Applies after a failure, so that it is not repeated at once.
+        Instant next = MonotonicClock.now().plus(OBSERVE_INTERVAL);
         try {
-            look.run();
-            next = due.get();
+            task.run();
+            next = nextRunAt.get();
         } finally {
             if (!closed) {
-                owner.schedule(
-                        guarded(() -> repeat(look, due)),
+                protocolExecutor.schedule(
+                        guarded(() -> runAndReschedule(task, nextRunAt)),
                         Math.max(1, MonotonicClock.until(next).toMillis()),
                         TimeUnit.MILLISECONDS);
             }
         }
     }
 
-    /** Asks the module what it knows, and tells it what it does not. */
-    private void look() {
-        shortAnswers = 0;
-        engine.readNodes(facts -> execute(() -> seen(facts)));
-        recount();
+    /** Reads the node statuses of the scheduling policy and passes hints back to it. */
+    private void observeNodes() {
+        shortReplies = 0;
+        engine.readNodes(statuses -> execute(() -> applyNodeStatuses(statuses)));
+        updateMembers();
     }
 
-    /** Told at once when somebody comes: from then on each may send a cold node its part only. */
-    private void recount() {
+    /**
+     * Publishes the members. The engine learns of a new member at once, as from then on each
+     * instance may send a cold node only its own share.
+     */
+    private void updateMembers() {
         members = swim == null ? List.of() : List.copyOf(swim.members());
-        view.ifPresent(kept -> kept.retain(members));
+        view.ifPresent(fleetView -> fleetView.retain(members));
         if (swim != null && config.network().get().sharesColdNodeLimits()) {
-            RecentMembers.Share next = census.update(swim.members(), MonotonicClock.now());
-            if (!next.equals(share)) {
-                share = next;
+            RecentMembers.Share next = recentMembers.update(swim.members(), MonotonicClock.now());
+            if (!next.equals(coldNodeShare)) {
+                coldNodeShare = next;
                 engine.setInstances(next.rank(), next.instances());
             }
         }
     }
 
-    private void seen(List<NodeStatus> facts) {
+    private void applyNodeStatuses(List<NodeStatus> statuses) {
         Instant now = MonotonicClock.now();
-        learner.observe(facts, now);
-        learner.hints(facts, now)
-                .forEach(taught -> engine.hint(taught.nodeId(), taught::toSchedulerHint));
-        publish();
+        learner.observe(statuses, now);
+        learner.hints(statuses, now)
+                .forEach(hint -> engine.hint(hint.nodeId(), hint::toSchedulerHint));
+        publishCounts();
     }
 
-    private void publish() {
+    private void publishCounts() {
         for (Learner.Count count : Learner.Count.values()) {
-            long more = learner.count(count) - told.getOrDefault(count, 0L);
-            told.put(count, learner.count(count));
+            long increase = learner.count(count) - publishedCounts.getOrDefault(count, 0L);
+            publishedCounts.put(count, learner.count(count));
             switch (count) {
-                case HINTS_TAKEN -> counters.add(Name.HINTS_TAKEN, more);
-                case HINTS_CONFIRMED -> counters.add(Name.HINTS_CONFIRMED, more);
-                case HINTS_CONTRADICTED -> counters.add(Name.HINTS_CONTRADICTED, more);
-                case WORDS_AGED_OUT -> counters.add(Name.HINTS_AGED_OUT, more);
-                case WORDS_TAKEN -> counters.add(Name.WORDS_TAKEN, more);
-                case WORDS_REFUSED, WORDS_NO_ROOM -> counters.add(Name.WORDS_REFUSED, more);
+                case HINTS_TAKEN -> counters.add(Name.HINTS_TAKEN, increase);
+                case HINTS_CONFIRMED -> counters.add(Name.HINTS_CONFIRMED, increase);
+                case HINTS_CONTRADICTED -> counters.add(Name.HINTS_CONTRADICTED, increase);
+                case WORDS_AGED_OUT -> counters.add(Name.HINTS_AGED_OUT, increase);
+                case WORDS_TAKEN -> counters.add(Name.WORDS_TAKEN, increase);
+                case WORDS_REFUSED, WORDS_NO_ROOM -> counters.add(Name.WORDS_REFUSED, increase);
                 default -> {}
             }
         }
@@ -496,7 +526,7 @@
 
     // ---- transfers
 
-    private void refresh() {
+    private void pullFromRandomMember() {
         List<Member> present = swim.presentMembers();
         if (!present.isEmpty()) {
             pull(present.get(random.nextInt(present.size())).address());
@@ -504,152 +534,161 @@
     }
 
     private void pull(InetSocketAddress from) {
-        if (closed || pulls.size() >= MOST_PULLS || !pulls.add(from)) {
+        if (closed || activePulls.size() >= MAX_PULLS || !activePulls.add(from)) {
             return;
         }
-        client.pull(
+        transferClient.pull(
                 from,
-                config.maxNodes() * WORDS_A_NODE,
+                config.maxNodes() * OBSERVATIONS_PER_NODE,
                 new TransferClient.Listener() {
                     @Override
                     public List<Member> members() {
-                        return swim.members().stream().limit(MEMBERS_A_FRAME).toList();
+                        return swim.members().stream().limit(MEMBERS_PER_FRAME).toList();
                     }
 
                     @Override
-                    public void came(Transfer frame) {
+                    public void frameReceived(TransferFrame frame) {
                         swim.merge(frame.members(), MonotonicClock.now());
-                        learner.receive(frame.words(), MonotonicClock.now());
-                        sharing.ifPresent(kept -> kept.acceptVerdicts(frame.verdicts()));
-                        publish();
+                        learner.receive(frame.observations(), MonotonicClock.now());
+                        sharing.ifPresent(protocol -> protocol.acceptVerdicts(frame.verdicts()));
+                        publishCounts();
                     }
 
                     @Override
-                    public void over(String fault) {
-                        pulls.remove(from);
+                    public void finished(String fault) {
+                        activePulls.remove(from);
                         counters.add(
                                 fault.isEmpty() ? Name.TRANSFERS_TAKEN : Name.TRANSFERS_BROKEN);
                         LOG.log(Level.DEBUG, "transfer from {0}: {1}", from, fault);
-                        // What came goes to the module before the doors open: its events are taken
-                        // in order.
+                        // Hints reach the scheduling policy before the listeners open, as the
+                        // engine handles its events in order.
                         engine.readNodes(
-                                facts ->
+                                statuses ->
                                         execute(
                                                 () -> {
-                                                    seen(facts);
-                                                    learned.countDown();
+                                                    applyNodeStatuses(statuses);
+                                                    startupDone.countDown();
                                                 }));
                     }
                 });
     }
 
-    /** On the I/O thread. */
-    private void asked(byte[] question, long nonce, TransferServer.Reply reply) {
-        if (!enqueue(() -> reply.accept(answer(question, nonce)))) {
+    /** Called on the I/O thread. */
+    private void transferRequested(byte[] sealedRequest, long nonce, TransferServer.Reply reply) {
+        if (!enqueue(() -> reply.accept(answerRequest(sealedRequest, nonce)))) {
             reply.accept(List.of());
         }
     }
 
-    private List<byte[]> answer(byte[] question, long nonce) {
+    private List<byte[]> answerRequest(byte[] sealedRequest, long nonce) {
         Instant now = MonotonicClock.now();
         try {
-            Transfer asked = Codec.transfer(Sealed.open(keys, question), now);
-            if (asked.nonce() != nonce) {
-                throw new Sealed.Refused(Sealed.Fault.REPLAYED);
+            TransferFrame request =
+                    Codec.decodeTransfer(SealedMessage.open(keys, sealedRequest), now);
+            if (request.echoedNonce() != nonce) {
+                throw new RejectedException(Fault.REPLAYED);
             }
-            swim.merge(asked.members(), now);
+            swim.merge(request.members(), now);
             counters.add(Name.TRANSFERS_SERVED);
-            return answer(asked, now);
-        } catch (Sealed.Refused refused) {
-            refused(refused.fault());
-            return refused.fault() == Sealed.Fault.VERSION ? List.of(Sealed.no()) : List.of();
+            return encodeAnswer(request, now);
+        } catch (RejectedException rejected) {
+            countRejection(rejected.fault());
+            return rejected.fault() == Fault.VERSION
+                    ? List.of(SealedMessage.versionMismatch())
+                    : List.of();
         } catch (IOException unreadable) {
-            refused(Sealed.Fault.BODY);
+            countRejection(Fault.BODY);
             return List.of();
         }
     }
 
-    private List<byte[]> answer(Transfer asked, Instant now) {
+    private List<byte[]> encodeAnswer(TransferFrame request, Instant now) {
         List<Member> members = swim.members();
-        List<NodeObservation> words =
+        List<NodeObservation> observations =
                 learner.observations(
                         now,
                         Math.min(
-                                Math.min(Codec.MOST_WORDS, asked.index()),
-                                config.maxNodes() * WORDS_A_NODE));
-        List<Verdict> held = sharing.map(SharingProtocol::verdicts).orElse(List.of());
+                                Math.min(Codec.MAX_OBSERVATIONS, request.index()),
+                                config.maxNodes() * OBSERVATIONS_PER_NODE));
+        List<Verdict> verdicts = sharing.map(SharingProtocol::verdicts).orElse(List.of());
         int frames =
                 Math.max(
                         1,
                         Math.max(
-                                (members.size() + MEMBERS_A_FRAME - 1) / MEMBERS_A_FRAME,
-                                (Math.max(held.size(), words.size()) + WORDS_A_FRAME - 1)
-                                        / WORDS_A_FRAME));
+                                (members.size() + MEMBERS_PER_FRAME - 1) / MEMBERS_PER_FRAME,
+                                (Math.max(verdicts.size(), observations.size())
+                                                + OBSERVATIONS_PER_FRAME
+                                                - 1)
+                                        / OBSERVATIONS_PER_FRAME));
         List<byte[]> answer = new ArrayList<>();
         for (int i = 0; i < frames; i++) {
             answer.add(
-                    Sealed.seal(
+                    SealedMessage.seal(
                             keys,
-                            Codec.bytes(
-                                    new Transfer(
-                                            asked.ask(),
+                            Codec.encode(
+                                    new TransferFrame(
+                                            request.clientNonce(),
                                             0,
                                             i,
                                             i == frames - 1,
-                                            part(members, i, MEMBERS_A_FRAME),
-                                            part(words, i, WORDS_A_FRAME),
-                                            i == 0 ? figures() : Map.of(),
-                                            part(held, i, WORDS_A_FRAME)),
+                                            slice(members, i, MEMBERS_PER_FRAME),
+                                            slice(observations, i, OBSERVATIONS_PER_FRAME),
+                                            i == 0 ? counterValues() : Map.of(),
+                                            slice(verdicts, i, OBSERVATIONS_PER_FRAME)),
                                     now)));
         }
         return answer;
     }
 
-    private static <T> List<T> part(List<T> all, int number, int size) {
+    private static <T> List<T> slice(List<T> all, int index, int size) {
         return all.subList(
-                Math.min(all.size(), number * size), Math.min(all.size(), (number + 1) * size));
+                Math.min(all.size(), index * size), Math.min(all.size(), (index + 1) * size));
     }
 
-    private Map<String, Long> figures() {
-        Map<String, Long> figures = new LinkedHashMap<>();
+    private Map<String, Long> counterValues() {
+        Map<String, Long> values = new LinkedHashMap<>();
         for (Learner.Count count : Learner.Count.values()) {
-            figures.put(count.name().toLowerCase(Locale.ROOT), learner.count(count));
-        }
-        figures.put("words_kept", (long) learner.peerObservationCount());
-        figures.put("shares_cold_among", (long) share.instances());
-        figures.put("name_conflicts", swim.nameConflicts());
-        figures.put("names_refused", swim.refusedNameClaims());
-        figures.put("health", (long) swim.health().score());
-        figures.put("stalls", swim.stalls());
-        figures.put("members_turned_away", swim.rejectedMembers());
+            values.put(count.name().toLowerCase(Locale.ROOT), learner.count(count));
+        }
+        values.put("words_kept", (long) learner.peerObservationCount());
+        values.put("shares_cold_among", (long) coldNodeShare.instances());
+        values.put("name_conflicts", swim.nameConflicts());
+        values.put("names_refused", swim.refusedNameClaims());
+        values.put("health", (long) swim.health().score());
+        values.put("stalls", swim.stalls());
+        values.put("members_turned_away", swim.rejectedMembers());
         sharing.ifPresent(
-                kept -> {
-                    figures.put("limits_agreed_among", (long) kept.allocation().agreedMembers());
-                    figures.put("verdicts_held", (long) kept.verdicts().size());
-                    figures.put("shared_turned_away", kept.rejected());
+                protocol -> {
+                    values.put("limits_agreed_among", (long) protocol.allocation().agreedMembers());
+                    values.put("verdicts_held", (long) protocol.verdicts().size());
+                    values.put("shared_turned_away", protocol.rejected());
                 });
-        return figures;
+        return values;
     }
 
     // ---- datagrams
 
-    /** On the I/O thread. */
-    private void received(InetSocketAddress from, byte[] datagram) {
-        enqueue(() -> take(from, datagram));
+    /** Called on the I/O thread. */
+    private void datagramReceived(InetSocketAddress from, byte[] datagram) {
+        enqueue(() -> handleDatagram(from, datagram));
     }
 
-    private void take(InetSocketAddress from, byte[] datagram) {
+    private void handleDatagram(InetSocketAddress from, byte[] datagram) {
         counters.add(Name.PEER_MESSAGES);
         try {
             if (datagram.length > Datagrams.MOST_BYTES) {
-                throw new Sealed.Refused(Sealed.Fault.BODY);
+                throw new RejectedException(Fault.BODY);
             }
-            Envelope envelope = Codec.envelope(Sealed.open(keys, datagram));
-            switch (guard.check(from, envelope.from(), envelope.to(), envelope.number())) {
+            Envelope envelope = Codec.decodeEnvelope(SealedMessage.open(keys, datagram));
+            switch (guard.check(
+                    from,
+                    envelope.senderGeneration(),
+                    envelope.receiverGeneration(),
+                    envelope.sequenceNumber())) {
                 case FRESH -> {
-                    Message kept = held.remove(from);
-                    if (kept != null) {
-                        put(from, kept);
+                    Message unconfirmedMessage = unconfirmed.remove(from);
+                    if (unconfirmedMessage != null) {
+                        sendMessage(from, unconfirmedMessage);
                     }
                     envelope.message()
                             .ifPresent(
@@ -657,19 +696,20 @@
                     envelope.notice().ifPresent(notice -> receive(notice, from));
                 }
                 case UNKNOWN_GENERATION -> {
-                    if (envelope.says()) { // or two would tell each other without end
-                        answerShortly(from, ownLife(envelope.from()));
+                    // No reply to a reply: two instances would send them to each other without end.
+                    if (envelope.hasContent()) {
+                        sendShortReply(from, ownGeneration(envelope.senderGeneration()));
                     }
                 }
-                default -> throw new Sealed.Refused(Sealed.Fault.REPLAYED);
+                default -> throw new RejectedException(Fault.REPLAYED);
             }
-        } catch (Sealed.Refused refused) {
-            refused(refused.fault());
-            if (refused.fault() == Sealed.Fault.VERSION) {
-                answerShortly(from, Sealed.no());
+        } catch (RejectedException rejected) {
+            countRejection(rejected.fault());
+            if (rejected.fault() == Fault.VERSION) {
+                sendShortReply(from, SealedMessage.versionMismatch());
             }
         } catch (IOException unreadable) {
-            refused(Sealed.Fault.BODY);
+            countRejection(Fault.BODY);
         }
     }
 
@@ -677,49 +717,54 @@
         sharing.ifPresent(shared -> shared.receive(notice, from));
     }
 
-    /** A sealed envelope without content: tells an instance the life of this one. */
-    private byte[] ownLife(long to) {
-        Envelope envelope = new Envelope(life, to, guard.nextSequenceNumber(), Optional.empty());
-        return Sealed.seal(keys, Codec.bytes(envelope));
+    /** A sealed envelope without content, which tells a peer this instance's generation. */
+    private byte[] ownGeneration(long to) {
+        Envelope envelope =
+                new Envelope(generation, to, guard.nextSequenceNumber(), Optional.empty());
+        return SealedMessage.seal(keys, Codec.encode(envelope));
     }
 
-    private void answerShortly(InetSocketAddress to, byte[] answer) {
-        if (shortAnswers++ < MOST_SHORT_ANSWERS) {
+    private void sendShortReply(InetSocketAddress to, byte[] answer) {
+        if (shortReplies++ < MAX_SHORT_REPLIES) {
             datagrams.send(to, answer);
         }
     }
 
-    private void refused(Sealed.Fault fault) {
+    private void countRejection(Fault fault) {
         counters.add(Name.PEER_REFUSED);
-        if (logged.add(fault)) { // a flood must not fill the log: each kind once
-            LOG.log(Level.WARNING, "a message is refused and counted: {0}", fault);
+        // Each kind is logged only once, so that a flood does not fill the log.
+        if (loggedFaults.add(fault)) {
+            LOG.log(
+                    Level.WARNING,
+                    "rejected a message from a peer: {0}; later ones of this kind are only counted",
+                    fault);
         }
     }
 
-    private void put(InetSocketAddress to, Message message) {
+    private void sendMessage(InetSocketAddress to, Message message) {
         send(to, Optional.of(message), Optional.empty());
     }
 
     private void send(InetSocketAddress to, Optional<Message> message, Optional<Notice> notice) {
         datagrams.send(
                 to,
-                Sealed.seal(
+                SealedMessage.seal(
                         keys,
-                        Codec.bytes(
+                        Codec.encode(
                                 new Envelope(
-                                        life,
+                                        generation,
                                         guard.generationAt(to),
                                         guard.nextSequenceNumber(),
                                         message,
                                         notice))));
     }
 
-    /** What sharing orders. */
-    private final class Shared implements SharingProtocol.Out<InetSocketAddress> {
-        private final SharingSettings terms;
+    /** Carries out what the sharing protocol asks for. */
+    private final class SharingCallbacks implements SharingProtocol.Out<InetSocketAddress> {
+        private final SharingSettings settings;
 
-        Shared(SharingSettings terms) {
-            this.terms = terms;
+        SharingCallbacks(SharingSettings settings) {
+            this.settings = settings;
         }
 
         @Override
@@ -728,122 +773,127 @@
         }
 
         @Override
-        public void fetchVerdicts(InetSocketAddress with) {
-            pull(with);
+        public void fetchVerdicts(InetSocketAddress peer) {
+            pull(peer);
         }
 
         @Override
         public void verdictAccepted(Verdict verdict) {
-            say(verdict, "verdict_taken");
-            ruling.accept(verdict);
-            sharing.ifPresent(Peers.this::keepVerdicts);
+            logVerdict(verdict, "verdict_taken");
+            verdictListener.accept(verdict);
+            sharing.ifPresent(Peers.this::storeVerdicts);
         }
 
         @Override
-        public void allocationChanged(Allocation grant) {
+        public void allocationChanged(Allocation allocation) {
             Map<Long, Double> volumes = new HashMap<>();
-            Map<DemandTracker.ColdNode, Double> cold = new HashMap<>();
-            grant.shares()
+            Map<ColdNode, Double> cold = new HashMap<>();
+            allocation
+                    .shares()
                     .forEach(
-                            (key, part) -> {
+                            (key, share) -> {
                                 if (ShareKey.isVolume(key)) {
-                                    volumes.put(ShareKey.volumeId(key), part);
+                                    volumes.put(ShareKey.volumeId(key), share);
                                 } else {
                                     ShareKey.nodeGeneration(key)
-                                            .map(
-                                                    run ->
-                                                            new DemandTracker.ColdNode(
-                                                                    run.id(), run.startedUs()))
-                                            .ifPresent(node -> cold.put(node, part));
+                                            .map(node -> new ColdNode(node.id(), node.startedUs()))
+                                            .ifPresent(node -> cold.put(node, share));
                                 }
                             });
             engine.applyAllocation(
-                    new Engine.LimitAllocation(
+                    new LimitAllocation(
                             volumes,
                             cold,
-                            grant.otherVolumeShare(),
-                            grant.otherColdNodeShare(),
-                            terms.minShare(),
-                            terms.windowStart(grant.window() + 1)));
+                            allocation.otherVolumeShare(),
+                            allocation.otherColdNodeShare(),
+                            settings.minShare(),
+                            settings.windowStart(allocation.window() + 1)));
         }
 
         @Override
         public void requestDemand(long window) {
             engine.takeDemand(
                     demand -> {
-                        Map<String, Double> wanted = new HashMap<>();
+                        Map<String, Double> demandByKey = new HashMap<>();
                         demand.unitsByVolume()
                                 .forEach(
                                         (volume, units) ->
-                                                wanted.put(ShareKey.ofVolume(volume), units));
+                                                demandByKey.put(ShareKey.ofVolume(volume), units));
                         demand.unitsByColdNode()
                                 .forEach(
                                         (node, units) ->
-                                                wanted.put(
+                                                demandByKey.put(
                                                         ShareKey.ofNode(
                                                                 node.id(), node.startedUs()),
                                                         units));
-                        execute(() -> sharing.ifPresent(kept -> kept.reportDemand(window, wanted)));
+                        execute(
+                                () ->
+                                        sharing.ifPresent(
+                                                protocol ->
+                                                        protocol.reportDemand(
+                                                                window, demandByKey)));
                     });
         }
     }
 
-    private void say(Verdict verdict, String what) {
+    private void logVerdict(Verdict verdict, String event) {
         LOG.log(
                 Level.INFO,
                 "{0}",
-                SharedLines.verdict(config.name(), what, verdict, MonotonicClock.now()));
+                SharingJson.verdictLine(config.name(), event, verdict, MonotonicClock.now()));
     }
 
-    private void keepVerdicts(SharingProtocol<InetSocketAddress> kept) {
-        verdicts.ifPresent(
+    private void storeVerdicts(SharingProtocol<InetSocketAddress> protocol) {
+        verdictStore.ifPresent(
                 file -> {
-                    byte[] body = Codec.verdicts(kept.verdicts());
-                    disk.execute(() -> write(file, body));
+                    byte[] body = Codec.encodeVerdicts(protocol.verdicts());
+                    diskExecutor.execute(() -> writeSnapshot(file, body));
                 });
     }
 
-    /** Verdicts of the former life: they hold however long it is over. */
-    private List<Verdict> recallVerdicts() {
-        return verdicts.flatMap(
+    /** Loads the verdicts from before the restart, which stay valid whatever their age. */
+    private List<Verdict> loadVerdicts() {
+        return verdictStore
+                .flatMap(
                         file ->
                                 file.newest(
                                         Instant.now(),
                                         SnapshotStore.ANY_AGE,
-                                        found -> Codec.verdicts(found.body()),
-                                        this::ignored))
+                                        found -> Codec.decodeVerdicts(found.body()),
+                                        this::snapshotIgnored))
                 .orElse(List.of());
     }
 
-    private void ignored(SnapshotStore.Found found, String fault) {
+    private void snapshotIgnored(SnapshotStore.Found found, String fault) {
         counters.add(Name.SNAPSHOTS_IGNORED);
-        LOG.log(Level.WARNING, "{0} is ignored: {1}", found.file(), fault);
+        LOG.log(Level.WARNING, "ignored snapshot {0}: {1}", found.file(), fault);
     }
 
-    /** What the membership orders. */
-    private final class Wiring implements Swim.Callbacks {
+    /** Carries out what the membership asks for. */
+    private final class SwimCallbacks implements Swim.Callbacks {
         @Override
         public void send(InetSocketAddress to, Message message) {
-            if (guard.generationAt(to) == 0 && (held.size() < MOST_HELD || held.containsKey(to))) {
-                held.put(
-                        to,
-                        message); // it will be turned away and is sent again when the life is known
+            if (guard.generationAt(to) == 0
+                    && (unconfirmed.size() < MAX_UNCONFIRMED_MESSAGES
+                            || unconfirmed.containsKey(to))) {
+                // It will be rejected, and is sent again once the peer's generation is known.
+                unconfirmed.put(to, message);
             }
-            put(to, message);
+            sendMessage(to, message);
         }
 
         @Override
-        public void exchangeMemberLists(InetSocketAddress with) {
-            pull(with);
+        public void exchangeMemberLists(InetSocketAddress peer) {
+            pull(peer);
         }
 
         @Override
         public void memberChanged(Member member) {
-            recount();
+            updateMembers();
             LOG.log(
                     Level.INFO,
                     "{0}",
-                    view.map(kept -> kept.recordChange(member, MonotonicClock.now()))
+                    view.map(fleetView -> fleetView.recordChange(member, MonotonicClock.now()))
                             .orElseGet(
                                     () ->
                                             "member "
@@ -857,7 +907,10 @@
         @Override
         public void nameClaimRefused(Member known, Member claim) {
             String line =
-                    view.map(kept -> kept.recordRefusal(known, claim, MonotonicClock.now()))
+                    view.map(
+                                    fleetView ->
+                                            fleetView.recordRefusal(
+                                                    known, claim, MonotonicClock.now()))
                             .orElse("");
             if (!line.isEmpty()) {
                 LOG.log(Level.WARNING, "{0}", line);
@@ -867,41 +920,42 @@
 
     // ---- snapshots
 
-    private byte[] body() {
-        return Codec.snapshot(
+    private byte[] snapshotBody() {
+        return Codec.encodeSnapshot(
                 config.name(),
-                learner.observations(MonotonicClock.now(), Codec.MOST_WORDS),
+                learner.observations(MonotonicClock.now(), Codec.MAX_OBSERVATIONS),
                 MonotonicClock.now());
     }
 
-    private void write(byte[] body) {
-        store.ifPresent(file -> write(file, body));
+    private void writeSnapshot(byte[] body) {
+        learnedStore.ifPresent(file -> writeSnapshot(file, body));
     }
 
-    private void write(SnapshotStore file, byte[] body) {
+    private void writeSnapshot(SnapshotStore file, byte[] body) {
         try {
             file.write(body, Instant.now());
             counters.add(Name.SNAPSHOTS_WRITTEN);
         } catch (IOException failed) {
             counters.add(Name.SNAPSHOTS_FAILED);
-            LOG.log(Level.WARNING, "snapshot not written: {0}", failed.toString());
+            LOG.log(Level.WARNING, "could not write a snapshot: {0}", failed.toString());
         }
     }
 
-    /** Before anything else runs. */
-    private void recall() {
-        store.flatMap(
+    /** Restores the observations of the last snapshot; called before any task runs. */
+    private void restoreSnapshot() {
+        learnedStore
+                .flatMap(
                         file ->
                                 file.newest(
                                         Instant.now(),
                                         config.snapshots().get().maxAge(),
-                                        this::words,
-                                        this::ignored))
-                .ifPresent(words -> learner.receive(words, MonotonicClock.now()));
+                                        this::decodeObservations,
+                                        this::snapshotIgnored))
+                .ifPresent(observations -> learner.receive(observations, MonotonicClock.now()));
     }
 
-    private List<NodeObservation> words(SnapshotStore.Found found) throws IOException {
-        return Codec.snapshot(found.body(), config.name(), found.age(), MonotonicClock.now())
-                .orElseThrow(() -> new IOException("another instance's"));
+    private List<NodeObservation> decodeObservations(SnapshotStore.Found found) throws IOException {
+        return Codec.decodeSnapshot(found.body(), config.name(), found.age(), MonotonicClock.now())
+                .orElseThrow(() -> new IOException("written by an instance of another name"));
     }
 }
--- a/src/main/java/cypressglade/peer/PeersConfig.java
+++ b/src/main/java/cypressglade/peer/PeersConfig.java
@@ -9,31 +9,35 @@
 import java.util.Optional;
 
 /**
- * What {@code deploy/peers.json} says.
+ * The settings of {@code deploy/peers.json}.
  *
- * @param name of this instance, the same after a restart
- * @param network with whom and how; nothing where this instance is alone and has its snapshots only
- * @param snapshots where they are kept; nothing where none are
- * @param maxNodes nodes that words of others are kept of
+ * @param name name of this instance, the same after a restart
+ * @param network how to reach other instances; empty if this instance runs alone and only has its
+ *     snapshots
+ * @param snapshots where and how often snapshots are kept; empty if none are
+ * @param maxNodes maximum number of nodes for which observations of others are kept
  * @param maxStartWait how long a start waits for a peer at most
  */
 public record PeersConfig(
         String name,
-        Optional<PeersConfig.Network> network,
+        Optional<Network> network,
         Optional<Snapshots> snapshots,
         int maxNodes,
         Duration maxStartWait) {
     /**
-     * Talk with others.
+     * Communication with other instances.
      *
-     * @param advertisedAddress where others reach this instance, where that is not where it listens
-     * @param refreshInterval between two transfers
-     * @param sharesColdNodeLimits whether what all instances may send to a cold node is shared
-     *     among who is there
-     * @param swimSettings of the membership
-     * @param keepsFleetView whether the fleet's view is kept: logged at each change, and told at
-     *     the operators' door
-     * @param sharingSettings of what is shared of limits and verdicts; nothing where nothing is
+     * @param listenAddress where this instance listens, TCP and UDP
+     * @param advertisedAddress where others reach this instance; empty if at the listen address
+     * @param seeds addresses of instances to contact at the start
+     * @param keys keys that sign and verify all messages
+     * @param refreshInterval time between two transfers
+     * @param sharesColdNodeLimits whether the limit of a cold node is divided among the present
+     *     instances
+     * @param swimSettings settings of the membership protocol
+     * @param keepsFleetView whether to keep a view of the fleet, which is logged at each change and
+     *     shown on the operator port
+     * @param sharingSettings settings of shared limits and verdicts; empty if none are shared
      */
     public record Network(
             InetSocketAddress listenAddress,
@@ -46,6 +50,13 @@
             boolean keepsFleetView,
             Optional<SharingSettings> sharingSettings) {}
 
-    /** Snapshots: the directory, how often one is written, and how old one may be to be read. */
+    /**
+     * Snapshots of observations and verdicts.
+     *
+     * @param directory where they are kept
+     * @param interval time between two writes of the observations; verdicts are written when they
+     *     change
+     * @param maxAge age from which a snapshot of observations is ignored at the start
+     */
     public record Snapshots(Path directory, Duration interval, Duration maxAge) {}
 }
--- a/src/main/java/cypressglade/peer/SharedLines.java
+++ b/src/main/java/cypressglade/peer/SharingJson.java
@@ -9,32 +9,32 @@
 import java.time.Instant;
 import java.util.TreeMap;
 
-/** What is shared, as JSON for the log and for the operators' door. */
-final class SharedLines {
+/** Shared limits and verdicts as JSON, for the log and for the operator port. */
+final class SharingJson {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private SharedLines() {}
+    private SharingJson() {}
 
-    /** Adds the parts that hold now, and the verdicts, to the whole view. */
-    static void add(ObjectNode whole, SharingProtocol<?> shared) {
-        Allocation grant = shared.allocation();
+    /** Adds the current shares of the limits, and the verdicts, to the fleet view. */
+    static void addTo(ObjectNode view, SharingProtocol<?> shared) {
+        Allocation allocation = shared.allocation();
         ObjectNode limits =
-                whole.putObject("limits")
-                        .put("window", grant.window())
-                        .put("agreed_among", grant.agreedMembers())
-                        .put("rest", grant.otherVolumeShare())
+                view.putObject("limits")
+                        .put("window", allocation.window())
+                        .put("agreed_among", allocation.agreedMembers())
+                        .put("rest", allocation.otherVolumeShare())
                         .put("turned_away", shared.rejected());
-        ObjectNode parts = limits.putObject("parts");
-        new TreeMap<>(grant.shares()).forEach(parts::put);
-        ArrayNode verdicts = whole.putArray("verdicts");
+        ObjectNode shares = limits.putObject("parts");
+        new TreeMap<>(allocation.shares()).forEach(shares::put);
+        ArrayNode verdicts = view.putArray("verdicts");
         shared.verdicts().forEach(verdict -> verdicts.add(entry(verdict)));
     }
 
-    /** One line for a verdict that was given here or taken from another. */
-    static String verdict(String self, String what, Verdict verdict, Instant now) {
+    /** The log line for a verdict that was issued here or accepted from another member. */
+    static String verdictLine(String self, String event, Verdict verdict, Instant now) {
         ObjectNode line =
                 JSON.createObjectNode()
-                        .put("fleet", what)
+                        .put("fleet", event)
                         .put("self", self)
                         .put("at_ms", now.toEpochMilli());
         line.set("verdict", entry(verdict));
--- a/src/main/java/cypressglade/peer/TransferClient.java
+++ b/src/main/java/cypressglade/peer/TransferClient.java
@@ -4,6 +4,8 @@
 import cypressglade.member.Member;
 import cypressglade.net.Loop;
 import cypressglade.net.Wire;
+import cypressglade.peer.SealedMessage.Fault;
+import cypressglade.peer.SealedMessage.RejectedException;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -17,12 +19,13 @@
 import java.util.function.Supplier;
 
 /**
- * Asks one instance for what it knows. Frames are checked and read on the owner's thread, one by
- * one as they come, so that what came before a break counts. The ways there and back count as age
- * of all that is told.
+ * Requests members, observations and verdicts from another instance over TCP. Frames are verified
+ * and decoded on the owner's thread, one by one as they arrive, so that those received before a
+ * failure are used. The round-trip time is added to the age of all observations.
  */
 final class TransferClient {
-    static final Duration MOST = Duration.ofSeconds(2);
+    /** Maximum duration of a transfer, from the start of the connection. */
+    static final Duration TIMEOUT = Duration.ofSeconds(2);
 
     private final Loop loop;
     private final Optional<InetSocketAddress> local;
@@ -30,23 +33,28 @@
     private final SecureRandom random;
     private final Supplier<KeyRing> keys;
 
-    /** Hears of one transfer, on the owner's thread. */
+    /** Receives the events of one transfer, on the owner's thread. */
     interface Listener {
-        /** What the question carries. */
+        /** The members to send with the request. */
         List<Member> members();
 
-        /** A good frame; its words are aged by their way. */
-        void came(Transfer frame);
+        /** Called for each valid frame; its observations are aged by the round-trip time. */
+        void frameReceived(TransferFrame frame);
 
-        /** Told once: nothing where the last frame came, or why it broke off. */
-        void over(String fault);
+        /**
+         * Called once, at the end.
+         *
+         * @param fault why the transfer failed; empty if the last frame was received
+         */
+        void finished(String fault);
     }
 
     /**
-     * Asks from a local address, which others know this instance by, or from any where there is
-     * none.
+     * Creates a client.
      *
-     * @param owner runs what the listeners hear of
+     * @param local address to connect from, by which others know this instance; any if empty
+     * @param owner runs the listeners
+     * @param keys supplies the key ring that is valid at the moment of the call
      */
     TransferClient(
             Loop loop,
@@ -61,122 +69,123 @@
         this.keys = keys;
     }
 
-    void pull(InetSocketAddress from, int mostWords, Listener listener) {
-        loop.execute(() -> new Pull(mostWords, listener).start(from));
+    /** Starts a transfer; may be called from any thread. */
+    void pull(InetSocketAddress from, int maxObservations, Listener listener) {
+        loop.execute(() -> new Pull(maxObservations, listener).start(from));
     }
 
-    /** The socket is the I/O thread's; what the frames say is the owner's. */
+    /** One transfer. The I/O thread owns the connection, the owner's thread the contents. */
     private final class Pull implements Wire.Listener {
-        private final int mostWords;
+        private final int maxObservations;
         private final Listener listener;
-        private final Frames frames = new Frames(this::frame);
+        private final FrameCodec frames = new FrameCodec(this::handleFrame);
         private Loop.Dial dial;
         private Wire wire;
-        private boolean over;
-        // The owner's alone.
-        private Instant asked;
-        private long nonce;
-        private int next;
-        private boolean told;
-
-        Pull(int mostWords, Listener listener) {
-            this.mostWords = mostWords;
+        private boolean closed;
+        // Used only by the owner's thread.
+        private Instant requestedAt;
+        private long clientNonce;
+        private int nextIndex;
+        private boolean isFinished;
+
+        Pull(int maxObservations, Listener listener) {
+            this.maxObservations = maxObservations;
             this.listener = listener;
         }
 
         void start(InetSocketAddress from) {
-            loop.after(MOST, () -> end("no answer in time"));
+            loop.after(TIMEOUT, () -> fail("no answer in time"));
             dial =
                     loop.dial(
                             local,
                             from,
-                            up -> {
-                                if (over) {
-                                    up.close();
+                            opened -> {
+                                if (closed) {
+                                    opened.close();
                                     return;
                                 }
-                                wire = up;
+                                wire = opened;
                                 wire.listen(this);
                             },
-                            () -> end("no connection"));
+                            () -> fail("could not connect"));
         }
 
-        private void frame(byte[] frame) {
+        private void handleFrame(byte[] frame) {
             owner.execute(
                     () -> {
-                        if (told) {
+                        if (isFinished) {
                             return;
                         }
                         try {
-                            if (asked == null) {
-                                ask(Frames.nonce(frame));
+                            if (requestedAt == null) {
+                                sendRequest(FrameCodec.nonce(frame));
                             } else {
-                                answer(frame);
+                                handleResponse(frame);
                             }
-                        } catch (Sealed.Refused refused) {
-                            tell("refused: " + refused.fault());
+                        } catch (RejectedException rejected) {
+                            finish("rejected: " + rejected.fault());
                         } catch (IOException unreadable) {
-                            tell("unreadable: " + unreadable.getMessage());
+                            finish("unreadable: " + unreadable.getMessage());
                         }
                     });
         }
 
-        private void ask(long theirs) {
-            nonce = random.nextLong();
-            asked = MonotonicClock.now();
-            byte[] question =
-                    Sealed.seal(
+        private void sendRequest(long serverNonce) {
+            clientNonce = random.nextLong();
+            requestedAt = MonotonicClock.now();
+            byte[] request =
+                    SealedMessage.seal(
                             keys.get(),
-                            Codec.bytes(
-                                    new Transfer(
-                                            theirs,
-                                            nonce,
-                                            mostWords,
+                            Codec.encode(
+                                    new TransferFrame(
+                                            serverNonce,
+                                            clientNonce,
+                                            maxObservations,
                                             true,
                                             listener.members(),
                                             List.of(),
                                             Map.of()),
-                                    asked));
+                                    requestedAt));
             loop.execute(
                     () -> {
-                        if (!over) {
-                            wire.send(Frames.frame(question));
+                        if (!closed) {
+                            wire.send(FrameCodec.encode(request));
                         }
                     });
         }
 
-        private void answer(byte[] frame) throws IOException, Sealed.Refused {
-            byte[] body = Sealed.open(keys.get(), frame);
-            // An age holds for when it was written, which is no sooner than the question went out.
-            Transfer transfer = Codec.transfer(body, asked);
-            if (transfer.nonce() != nonce || transfer.index() != next++) {
-                throw new Sealed.Refused(Sealed.Fault.REPLAYED);
+        private void handleResponse(byte[] frame) throws IOException, RejectedException {
+            byte[] body = SealedMessage.open(keys.get(), frame);
+            // Ages count from when the frame was written, which was after the request was sent.
+            TransferFrame transfer = Codec.decodeTransfer(body, requestedAt);
+            if (transfer.echoedNonce() != clientNonce || transfer.index() != nextIndex++) {
+                throw new RejectedException(Fault.REPLAYED);
             }
-            listener.came(transfer);
+            listener.frameReceived(transfer);
             if (transfer.last()) {
-                tell("");
+                finish("");
             }
         }
 
-        /** On the owner's thread. */
-        private void tell(String fault) {
-            if (!told) {
-                told = true;
-                listener.over(fault);
-                loop.execute(this::giveBack);
+        /** Called on the owner's thread. */
+        private void finish(String fault) {
+            if (!isFinished) {
+                isFinished = true;
+                listener.finished(fault);
+                loop.execute(this::closeConnection);
             }
         }
 
-        /** On the I/O thread: what frames came before are heard of first. */
-        private void end(String fault) {
-            if (!over) {
-                owner.execute(() -> tell(fault));
-                giveBack();
+        /** Called on the I/O thread; the frames received before are handled first. */
+        private void fail(String fault) {
+            if (!closed) {
+                owner.execute(() -> finish(fault));
+                closeConnection();
             }
         }
 
-        private void giveBack() {
-            over = true;
+        private void closeConnection() {
+            closed = true;
             if (wire != null) {
                 wire.close();
             } else if (dial != null) {
@@ -191,7 +200,7 @@
 
         @Override
         public void ended() {
-            end("broke off");
+            fail("connection closed before the last frame");
         }
     }
 }
--- a/src/main/java/cypressglade/peer/TransferServer.java
+++ b/src/main/java/cypressglade/peer/TransferServer.java
@@ -14,13 +14,13 @@
 import java.util.function.Consumer;
 
 /**
- * Takes one question a connection and sends its answer: a nonce goes out first, the question must
- * name it. All state is the I/O thread's; the answer is made elsewhere and comes back by {@link
- * Reply}.
+ * Serves one transfer per connection. The server first sends a nonce, which the request must repeat
+ * as a protection against replay. The I/O thread owns all state; the answer is made on another
+ * thread and passed back by {@link Reply}.
  */
 final class TransferServer implements AutoCloseable {
-    private static final int MOST_OPEN = 4;
-    private static final Duration MOST_OPEN_FOR = Duration.ofSeconds(3);
+    private static final int MAX_CONNECTIONS = 4;
+    private static final Duration MAX_CONNECTION_TIME = Duration.ofSeconds(3);
 
     private final Loop loop;
     private final SecureRandom random;
@@ -28,13 +28,14 @@
     private final Listening listening;
     private final Set<Wire> open = new HashSet<>();
 
-    /** Makes answers; called on the I/O thread, which it must not hold up. */
+    /** Answers requests. Called on the I/O thread, which it must not block. */
     interface Handler {
-        void asked(byte[] question, long nonce, Reply reply);
+        void handleRequest(byte[] request, long nonce, Reply reply);
     }
 
     /**
-     * Takes the frames of the answer, or none for a question that gets none; from any thread, once.
+     * Accepts the frames of the answer; an empty list closes the connection without an answer. To
+     * be called once, from any thread.
      */
     interface Reply extends Consumer<List<byte[]>> {}
 
@@ -44,7 +45,7 @@
         this.random = random;
         this.handler = handler;
         listening = loop.listen(listen, this::accepted);
-        listening.bound(MOST_OPEN);
+        listening.bound(MAX_CONNECTIONS);
     }
 
     InetSocketAddress address() {
@@ -52,16 +53,16 @@
     }
 
     private void accepted(Wire wire) {
-        Served served = new Served(wire);
+        Session session = new Session(wire);
         open.add(wire);
-        wire.listen(served);
-        wire.send(Frames.frame(Frames.nonce(served.nonce)));
-        // Guards against who connects and says nothing, or asks and does not read.
-        loop.after(MOST_OPEN_FOR, () -> end(wire));
+        wire.listen(session);
+        wire.send(FrameCodec.encode(FrameCodec.nonce(session.nonce)));
+        // Guards against clients that send nothing, or do not read the answer.
+        loop.after(MAX_CONNECTION_TIME, () -> close(wire));
     }
 
-    /** The one place where a connection is given back. */
-    private void end(Wire wire) {
+    /** Closes a connection; the only place that does. */
+    private void close(Wire wire) {
         if (open.remove(wire)) {
             wire.close();
         }
@@ -70,36 +71,37 @@
     @Override
     public void close() {
         listening.close();
-        loop.execute(() -> List.copyOf(open).forEach(this::end));
+        loop.execute(() -> List.copyOf(open).forEach(this::close));
     }
 
-    private final class Served implements Wire.Listener {
+    private final class Session implements Wire.Listener {
         private final Wire wire;
         private final long nonce = random.nextLong();
-        private final Frames frames = new Frames(this::question);
-        private boolean asked;
+        private final FrameCodec frames = new FrameCodec(this::handleFrame);
+        private boolean hasRequest;
 
-        Served(Wire wire) {
+        Session(Wire wire) {
             this.wire = wire;
         }
 
-        private void question(byte[] frame) {
-            if (!asked) {
-                asked = true;
-                handler.asked(frame, nonce, answer -> loop.execute(() -> answer(answer)));
+        private void handleFrame(byte[] frame) {
+            if (!hasRequest) {
+                hasRequest = true;
+                handler.handleRequest(
+                        frame, nonce, frames -> loop.execute(() -> sendAnswer(frames)));
             }
         }
 
-        private void answer(List<byte[]> answer) {
+        private void sendAnswer(List<byte[]> answer) {
             if (!open.contains(wire)) {
                 return;
             }
             if (answer.isEmpty()) {
-                end(wire);
+                close(wire);
             } else {
-                // The asker closes once it has it all; whoever does not read is closed by the bound
-                // above.
-                wire.send(answer.stream().map(Frames::frame).toList());
+                // The client closes the connection once it has the answer; if it does not read, the
+                // time limit set in accepted() closes it.
+                wire.send(answer.stream().map(FrameCodec::encode).toList());
             }
         }
 
@@ -110,7 +112,7 @@
 
         @Override
         public void ended() {
-            end(wire);
+            close(wire);
         }
     }
 }
--- a/src/test/java/cypressglade/peer/CodecTest.java
+++ b/src/test/java/cypressglade/peer/CodecTest.java
@@ -11,9 +11,10 @@
 import cypressglade.member.Member.State;
 import cypressglade.member.MemberUpdate;
 import cypressglade.member.Message;
-import cypressglade.peer.Sealed.Fault;
-import cypressglade.peer.Sealed.Refused;
+import cypressglade.peer.SealedMessage.Fault;
+import cypressglade.peer.SealedMessage.RejectedException;
 import cypressglade.share.Notice;
+import cypressglade.share.Notice.Fragment;
 import cypressglade.share.Verdicts.Verdict;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -30,7 +31,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What goes over the wire between instances, and what is not taken from it. */
+/** Tests the encoding and the signatures of messages between instances, and which are rejected. */
 class CodecTest {
     static final String KEY = "1 " + "0a".repeat(32);
     private static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
@@ -51,7 +52,7 @@
                                             new MemberUpdate(MEMBER, "i-9"),
                                             new MemberUpdate(MEMBER, "i-1")))));
 
-    static NodeObservation word(int number) {
+    static NodeObservation observation(int number) {
         return new NodeObservation(
                 "s-" + number,
                 1_700_000_000_000_000L,
@@ -65,44 +66,45 @@
                 new Origin("i-1", 77));
     }
 
-    private static Transfer transfer(int words) {
-        return new Transfer(
+    private static TransferFrame transfer(int observationCount) {
+        return new TransferFrame(
                 1,
                 2,
                 3,
                 true,
                 List.of(MEMBER),
-                IntStream.range(0, words).mapToObj(CodecTest::word).toList(),
+                IntStream.range(0, observationCount).mapToObj(CodecTest::observation).toList(),
                 Map.of("a", 5L));
     }
 
     @Test
-    void whatIsWrittenIsReadAgainAndNeverYounger() throws Exception {
-        assertThat(Codec.envelope(Codec.bytes(ENVELOPE))).isEqualTo(ENVELOPE);
-        Transfer read = Codec.transfer(Codec.bytes(transfer(2), NOW), NOW.plusSeconds(60));
-        assertThat(read.words())
-                .extracting(word -> word.age(NOW.plusSeconds(60)))
+    void decodedBodiesEqualTheEncodedAndAreNeverYounger() throws Exception {
+        assertThat(Codec.decodeEnvelope(Codec.encode(ENVELOPE))).isEqualTo(ENVELOPE);
+        TransferFrame read =
+                Codec.decodeTransfer(Codec.encode(transfer(2), NOW), NOW.plusSeconds(60));
+        assertThat(read.observations())
+                .extracting(observation -> observation.age(NOW.plusSeconds(60)))
                 .containsOnly(Duration.ofMillis(51));
         assertThat(read)
                 .usingRecursiveComparison()
                 .ignoringFieldsOfTypes(Instant.class)
                 .isEqualTo(transfer(2));
-        byte[] snapshot = Codec.snapshot("me", transfer(1).words(), NOW);
-        assertThat(Codec.snapshot(snapshot, "me", Duration.ofSeconds(5), NOW).orElseThrow())
-                .extracting(word -> word.age(NOW))
+        byte[] snapshot = Codec.encodeSnapshot("me", transfer(1).observations(), NOW);
+        assertThat(Codec.decodeSnapshot(snapshot, "me", Duration.ofSeconds(5), NOW).orElseThrow())
+                .extracting(observation -> observation.age(NOW))
                 .containsExactly(Duration.ofMillis(5051));
-        assertThat(Codec.snapshot(snapshot, "you", Duration.ZERO, NOW)).isEmpty();
+        assertThat(Codec.decodeSnapshot(snapshot, "you", Duration.ZERO, NOW)).isEmpty();
     }
 
     @Test
-    void whatIsSharedIsReadAgain() throws Exception {
+    void decodedNoticesAndVerdictsEqualTheEncoded() throws Exception {
         Verdict verdict = new Verdict("node s-1", "exclude", NOW, "m-1", 3);
         Notice notice =
                 new Notice(
                         -7,
                         Map.of(5L, -1L, 6L, 3L),
                         List.of(
-                                new Notice.Fragment(
+                                new Fragment(
                                         "m-1",
                                         5,
                                         0,
@@ -115,18 +117,20 @@
                                                 3.0))),
                         List.of(verdict));
         Envelope envelope = new Envelope(1, 2, 3, Optional.empty(), Optional.of(notice));
-        assertThat(Codec.envelope(Codec.bytes(envelope))).isEqualTo(envelope);
-        assertThat(Codec.verdicts(Codec.verdicts(List.of(verdict)))).containsExactly(verdict);
-        Transfer sent =
-                new Transfer(1, 2, 3, true, List.of(MEMBER), List.of(), Map.of(), List.of(verdict));
-        assertThat(Codec.transfer(Codec.bytes(sent, NOW), NOW)).isEqualTo(sent);
-        Verdict lengthy = new Verdict("node " + "s".repeat(130), "exclude", NOW, "m-1", 3);
-        assertThatThrownBy(() -> Codec.verdicts(Codec.verdicts(List.of(lengthy))))
+        assertThat(Codec.decodeEnvelope(Codec.encode(envelope))).isEqualTo(envelope);
+        assertThat(Codec.decodeVerdicts(Codec.encodeVerdicts(List.of(verdict))))
+                .containsExactly(verdict);
+        TransferFrame sent =
+                new TransferFrame(
+                        1, 2, 3, true, List.of(MEMBER), List.of(), Map.of(), List.of(verdict));
+        assertThat(Codec.decodeTransfer(Codec.encode(sent, NOW), NOW)).isEqualTo(sent);
+        Verdict tooLong = new Verdict("node " + "s".repeat(130), "exclude", NOW, "m-1", 3);
+        assertThatThrownBy(() -> Codec.decodeVerdicts(Codec.encodeVerdicts(List.of(tooLong))))
                 .isInstanceOf(IOException.class);
     }
 
     @Test
-    void unknownNamesAreSkippedWhateverTheyHold() throws Exception {
+    void unknownKeysAreSkippedWhateverTheirValue() throws Exception {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = new CBORFactory().createGenerator(bytes)) {
             out.writeStartObject();
@@ -139,18 +143,18 @@
             out.writeStringField("later", "y");
             out.writeEndObject();
         }
-        assertThat(Codec.envelope(bytes.toByteArray()))
+        assertThat(Codec.decodeEnvelope(bytes.toByteArray()))
                 .isEqualTo(new Envelope(5, 0, 0, Optional.empty()));
     }
 
     /**
-     * Cut, changed and made-up bodies: read or refused, but nothing else is thrown and nothing runs
-     * away.
+     * Truncated, changed and random bodies are decoded or fail with IOException; nothing else is
+     * thrown, and decoding ends.
      */
     @Test
-    void garbledBodiesAreRefusedOrRead() {
+    void garbledBodiesAreRejectedOrDecoded() {
         Random random = new Random(5);
-        byte[] good = Codec.bytes(transfer(3), NOW);
+        byte[] good = Codec.encode(transfer(3), NOW);
         int refused = 0;
         for (int i = 0; i < 20_000; i++) {
             byte[] bad = random.nextInt(3) == 0 ? new byte[random.nextInt(200)] : good.clone();
@@ -163,8 +167,10 @@
                 bad[random.nextInt(bad.length)] = (byte) random.nextInt();
             }
             try {
-                Codec.transfer(bad, NOW).words().forEach(word -> word.isPlausible(NOW));
-                Codec.envelope(bad);
+                Codec.decodeTransfer(bad, NOW)
+                        .observations()
+                        .forEach(observation -> observation.isPlausible(NOW));
+                Codec.decodeEnvelope(bad);
             } catch (IOException unreadable) {
                 refused++;
             }
@@ -174,19 +180,19 @@
 
     private static Fault fault(KeyRing keys, byte[] sealed) {
         try {
-            Sealed.open(keys, sealed);
+            SealedMessage.open(keys, sealed);
             return null;
-        } catch (Refused refused) {
-            return refused.fault();
+        } catch (RejectedException rejected) {
+            return rejected.fault();
         }
     }
 
-    /** One bit changed anywhere is told by the signature, or before it is looked at. */
+    /** A change of any one bit fails the signature, or the checks before it. */
     @Test
-    void changedAndForeignFramesAreRefused() throws Exception {
+    void changedMessagesAndThoseOfOtherKeysAreRejected() throws Exception {
         KeyRing keys = KeyRing.parse("k", KEY);
-        byte[] sealed = Sealed.seal(keys, Codec.bytes(ENVELOPE));
-        assertThat(Sealed.open(keys, sealed)).isEqualTo(Codec.bytes(ENVELOPE));
+        byte[] sealed = SealedMessage.seal(keys, Codec.encode(ENVELOPE));
+        assertThat(SealedMessage.open(keys, sealed)).isEqualTo(Codec.encode(ENVELOPE));
         for (int i = 0; i < sealed.length; i++) {
             byte[] changed = sealed.clone();
             changed[i] ^= 1;
@@ -196,14 +202,14 @@
         assertThat(fault(keys, Arrays.copyOf(sealed, 33))).isEqualTo(Fault.SHORT);
         assertThat(fault(keys, new byte[0])).isEqualTo(Fault.SHORT);
         assertThat(fault(keys, new byte[] {2})).isEqualTo(Fault.VERSION);
-        assertThat(fault(keys, Sealed.no())).isEqualTo(Fault.NO);
+        assertThat(fault(keys, SealedMessage.versionMismatch())).isEqualTo(Fault.NO);
         assertThat(fault(KeyRing.parse("k", "1 " + "0b".repeat(32)), sealed))
                 .isEqualTo(Fault.SIGNATURE);
     }
 
-    /** The three steps in which a key is changed on one instance after the other. */
+    /** Replaces a key in three steps; instances one step apart accept each other's messages. */
     @Test
-    void twoKeysHoldWhileOneIsChanged() throws Exception {
+    void messagesAreAcceptedWhileAKeyIsReplaced() throws Exception {
         String other = "2 " + "0b".repeat(32);
         List<KeyRing> steps =
                 List.of(
@@ -212,10 +218,12 @@
                         KeyRing.parse("k", other + "\n" + KEY),
                         KeyRing.parse("k", other));
         for (int i = 0; i + 1 < steps.size(); i++) {
-            assertThat(fault(steps.get(i), Sealed.seal(steps.get(i + 1), new byte[1]))).isNull();
-            assertThat(fault(steps.get(i + 1), Sealed.seal(steps.get(i), new byte[1]))).isNull();
+            assertThat(fault(steps.get(i), SealedMessage.seal(steps.get(i + 1), new byte[1])))
+                    .isNull();
+            assertThat(fault(steps.get(i + 1), SealedMessage.seal(steps.get(i), new byte[1])))
+                    .isNull();
         }
-        assertThat(fault(steps.get(3), Sealed.seal(steps.get(0), new byte[1])))
+        assertThat(fault(steps.get(3), SealedMessage.seal(steps.get(0), new byte[1])))
                 .isEqualTo(Fault.KEY);
     }
 
@@ -232,16 +240,16 @@
             @\\n@ | k:2: the ID 1 is there twice
             @\\n2 @\\n | k:2: is not ID HEX
             """)
-    void unusableKeyFilesAreNamedByLine(String text, String why) {
+    void errorsOfUnusableKeyFilesNameTheLine(String text, String message) {
         assertThatThrownBy(() -> KeyRing.parse("k", text.replace("\\n", "\n").replace("@", KEY)))
                 .isInstanceOf(IOException.class)
-                .hasMessageStartingWith(why);
+                .hasMessageStartingWith(message);
     }
 
     @ParameterizedTest
     @CsvSource({"0", "-1", "65537", "2147483647"})
-    void framesOutOfBoundsFailBeforeRoomIsMade(int length) {
-        Frames frames = new Frames(frame -> {});
+    void frameLengthsOutOfBoundsFailBeforeAllocation(int length) {
+        FrameCodec frames = new FrameCodec(frame -> {});
         assertThatThrownBy(() -> frames.feed(java.nio.ByteBuffer.allocate(4).putInt(length).flip()))
                 .isInstanceOf(IOException.class)
                 .hasMessageContaining(Integer.toString(length));
--- a/src/test/java/cypressglade/peer/LearningMeasure.java
+++ b/src/test/java/cypressglade/peer/LearningMeasure.java
@@ -38,22 +38,23 @@
 import java.util.stream.IntStream;
 
 /**
- * {@code make measure-learning}: what word of others is worth, and what it costs; 1 where a bound
- * is missed.
+ * {@code make measure-learning}: measures the benefit and the cost of learning from other
+ * instances. Exits with 1 if a bound is missed.
  */
 public final class LearningMeasure {
     private static final int NODES = 10;
     private static final int[] SILENT = {0, 1};
     private static final int SLOW = 2;
     private static final int COLD = 4;
-    private static final double PACE_MS = 4;
-    private static final double SLOW_MS = 40;
-    private static final double AIM_MS = 400;
-    private static final int RATE = 100;
-    private static final double YOUNG_UNITS = 11; // the example's rule on cold nodes
-    private static final double COLD_FROM = 0.29;
-    private static final double RAMP_S = 17;
-    private static final double WINDOW_S = 1;
+    private static final double SERVICE_TIME_MS = 4;
+    private static final double SLOW_SERVICE_TIME_MS = 40;
+    private static final double TARGET_LATENCY_MS = 400;
+    private static final int REQUESTS_PER_SECOND = 100;
+    // The rule on cold nodes of the example configuration.
+    private static final double COLD_UNITS = 11;
+    private static final double COLD_INITIAL_FRACTION = 0.29;
+    private static final double RAMP_SECONDS = 17;
+    private static final double WINDOW_SECONDS = 1;
 
     private final Figures figures = new Figures();
     private final ExecutorService clients = Executors.newCachedThreadPool();
@@ -66,19 +67,17 @@
 
     public static void main(String[] args) throws Exception {
         LearningMeasure measure = new LearningMeasure();
-        Thread virtual =
-                new Thread(
-                        measure::members,
-                        "virtual time"); // beside the others, on a core of its own
+        // In parallel to the other measurements, on a core of its own.
+        Thread virtual = new Thread(measure::measureMembership, "virtual time");
         virtual.start();
-        measure.start();
-        measure.stale();
-        measure.transfer();
+        measure.measureStart();
+        measure.measureStaleObservations();
+        measure.measureTransfer();
         virtual.join();
         measure.figures.end();
     }
 
-    private PeersConfig talking(String name, InetSocketAddress... seeds) {
+    private PeersConfig networked(String name, InetSocketAddress... seeds) {
         return new PeersConfig(
                 name,
                 Optional.of(
@@ -97,10 +96,16 @@
                 Duration.ofMillis(200));
     }
 
-    /** Ten nodes: two silent, two slow, one that starts cold. */
+    /** Ten nodes: two silent, two slow, and one that starts cold. */
     private static List<StorageNode> nodes() {
         return IntStream.range(0, NODES)
-                .mapToObj(i -> new StorageNode(i >= SLOW && i < COLD ? SLOW_MS : PACE_MS, i < SLOW))
+                .mapToObj(
+                        i ->
+                                new StorageNode(
+                                        i >= SLOW && i < COLD
+                                                ? SLOW_SERVICE_TIME_MS
+                                                : SERVICE_TIME_MS,
+                                        i < SLOW))
                 .toList();
     }
 
@@ -116,7 +121,10 @@
                 new OperatorFiles(Optional.empty(), peers, Optional.empty()));
     }
 
-    /** Reads at a steady rate, each on a shard in turn; counts what was served within the aim. */
+    /**
+     * Sends reads at a steady rate, each to the next shard; counts those served within the target
+     * latency.
+     */
     private LongAdder load(Site site, String volume, int rate, double seconds, int... shards) {
         LongAdder within = new LongAdder();
         int count = (int) (rate * seconds);
@@ -139,20 +147,20 @@
     }
 
     private static void ask(Site site, String volume, int number, int shard, LongAdder within) {
-        long asked = System.nanoTime();
+        long startNanos = System.nanoTime();
         try {
             String path = "/job-read/" + volume + "/" + String.format("%016x", number);
             String headers = Site.headers(900, "standard", "units=2,shard=" + shard + ",hosts=1");
             int status = site.ask(Site.request("GET", path, headers, "")).status();
-            if (status == 200 && System.nanoTime() - asked <= AIM_MS * 1e6) {
+            if (status == 200 && System.nanoTime() - startNanos <= TARGET_LATENCY_MS * 1e6) {
                 within.increment();
             }
         } catch (java.io.IOException failed) {
-            // a request without an answer is one that was not served
+            // a request without an answer counts as not served
         }
     }
 
-    private static void pass(double seconds) throws InterruptedException {
+    private static void sleep(double seconds) throws InterruptedException {
         Thread.sleep((long) (seconds * 1000));
     }
 
@@ -161,56 +169,58 @@
     }
 
     /**
-     * A running instance, and beside it a new one that learns; elsewhere, on nodes alike, one that
-     * does not.
+     * Compares a new instance that learns from a running one with a new instance that does not, on
+     * another set of nodes of the same kind.
      */
-    private void start() throws Exception {
+    private void measureStart() throws Exception {
         int[] all = IntStream.range(0, NODES).toArray();
         List<StorageNode> first = nodes();
         List<StorageNode> second = nodes();
         long coldStart = System.currentTimeMillis();
-        Site running = site(first, coldStart, Optional.of(talking("running")));
-        load(running, volume(1), RATE, 4, all);
-        pass(4);
-        Site taught =
+        Site running = site(first, coldStart, Optional.of(networked("running")));
+        load(running, volume(1), REQUESTS_PER_SECOND, 4, all);
+        sleep(4);
+        Site learning =
                 site(
                         first,
                         coldStart,
-                        Optional.of(talking("taught", running.serve.peerAddress().orElseThrow())));
-        // loads those nodes as the running one does its own
-        Site beside = site(second, coldStart, Optional.empty());
-        Site untaught = site(second, coldStart, Optional.empty());
-        LongAdder byBeside = load(beside, volume(4), RATE, 2, all);
+                        Optional.of(
+                                networked("taught", running.serve.peerAddress().orElseThrow())));
+        // puts the same load on the second set of nodes as the running instance on the first
+        Site comparison = site(second, coldStart, Optional.empty());
+        Site isolated = site(second, coldStart, Optional.empty());
+        LongAdder byComparison = load(comparison, volume(4), REQUESTS_PER_SECOND, 2, all);
         long from = System.nanoTime();
-        LongAdder byTaught = load(taught, volume(2), RATE, 2, all);
-        LongAdder byUntaught = load(untaught, volume(3), RATE, 2, all);
-        LongAdder byRunning = load(running, volume(1), RATE, 2, all);
-        pass(2);
-        load(running, volume(1), RATE, 8, all);
-        load(beside, volume(4), RATE, 8, all);
-        load(taught, volume(2), RATE, 8, all);
-        load(untaught, volume(3), RATE, 8, all);
-        pass(8.5);
+        LongAdder byLearning = load(learning, volume(2), REQUESTS_PER_SECOND, 2, all);
+        LongAdder byIsolated = load(isolated, volume(3), REQUESTS_PER_SECOND, 2, all);
+        LongAdder byRunning = load(running, volume(1), REQUESTS_PER_SECOND, 2, all);
+        sleep(2);
+        load(running, volume(1), REQUESTS_PER_SECOND, 8, all);
+        load(comparison, volume(4), REQUESTS_PER_SECOND, 8, all);
+        load(learning, volume(2), REQUESTS_PER_SECOND, 8, all);
+        load(isolated, volume(3), REQUESTS_PER_SECOND, 8, all);
+        sleep(8.5);
         double toSilent =
                 Arrays.stream(SILENT).mapToDouble(i -> first.get(i).units(volume(2), from)).sum();
-        double untaughtToSilent =
+        double isolatedToSilent =
                 Arrays.stream(SILENT).mapToDouble(i -> second.get(i).units(volume(3), from)).sum();
-        figures.say("silent_units_untaught", untaughtToSilent);
-        figures.atMost("silent_units_ratio", toSilent / untaughtToSilent, 0.2);
-        figures.say("early_service_untaught", (double) byUntaught.sum() / byBeside.sum());
-        figures.atLeast("early_service", (double) byTaught.sum() / byRunning.sum(), 0.95);
+        figures.say("silent_units_untaught", isolatedToSilent);
+        figures.atMost("silent_units_ratio", toSilent / isolatedToSilent, 0.2);
+        figures.say("early_service_untaught", (double) byIsolated.sum() / byComparison.sum());
+        figures.atLeast("early_service", (double) byLearning.sum() / byRunning.sum(), 0.95);
         figures.atMost("cold_overshoot", overshoot(first.get(COLD), coldStart), 1);
-        figures.say("hints_taken", taught.serve.counters().get(Counters.Name.HINTS_TAKEN));
+        figures.say("hints_taken", learning.serve.counters().get(Counters.Name.HINTS_TAKEN));
         figures.say(
                 "hints_contradicted",
-                taught.serve.counters().get(Counters.Name.HINTS_CONTRADICTED));
-        for (Site site : List.of(running, beside, taught, untaught)) {
+                learning.serve.counters().get(Counters.Name.HINTS_CONTRADICTED));
+        for (Site site : List.of(running, comparison, learning, isolated)) {
             site.close();
         }
     }
 
     /**
-     * The most units that came in a window of the rule, over what it allows at the window's end.
+     * The maximum over all windows of the units received, divided by those that the rule on cold
+     * nodes allows at the end of the window.
      */
     private static double overshoot(StorageNode cold, long startMs) {
         long nowNanos = System.nanoTime();
@@ -224,54 +234,62 @@
                             .filter(
                                     one ->
                                             one.nanos() <= last.nanos()
-                                                    && one.nanos() > last.nanos() - WINDOW_S * 1e9)
+                                                    && one.nanos()
+                                                            > last.nanos() - WINDOW_SECONDS * 1e9)
                             .mapToDouble(Arrival::units)
                             .sum();
             double age = (nowMs - startMs) / 1e3 - (nowNanos - last.nanos()) / 1e9;
-            double allowed = YOUNG_UNITS * (1 + (1 / COLD_FROM - 1) * Math.max(0, age) / RAMP_S);
+            double allowed =
+                    COLD_UNITS
+                            * (1
+                                    + (1 / COLD_INITIAL_FRACTION - 1)
+                                            * Math.max(0, age)
+                                            / RAMP_SECONDS);
             worst = Math.max(worst, units / allowed);
         }
         return worst;
     }
 
     /**
-     * Word says that a node is healthy, and it has fallen silent since: what a taught one sends
-     * there beyond.
+     * A node falls silent after it was observed as healthy: counts the requests that an instance
+     * with that observation sends there in addition.
      */
-    private void stale() throws Exception {
-        List<StorageNode> first = List.of(new StorageNode(PACE_MS, false));
-        List<StorageNode> second = List.of(new StorageNode(PACE_MS, true));
-        Site running = site(first, 0, Optional.of(talking("running")));
-        load(running, volume(1), RATE, 2, 0);
-        pass(2.5);
+    private void measureStaleObservations() throws Exception {
+        List<StorageNode> first = List.of(new StorageNode(SERVICE_TIME_MS, false));
+        List<StorageNode> second = List.of(new StorageNode(SERVICE_TIME_MS, true));
+        Site running = site(first, 0, Optional.of(networked("running")));
+        load(running, volume(1), REQUESTS_PER_SECOND, 2, 0);
+        sleep(2.5);
         first.get(0).silent = true;
-        Site taught =
+        Site learning =
                 site(
                         first,
                         0,
-                        Optional.of(talking("taught", running.serve.peerAddress().orElseThrow())));
-        Site untaught = site(second, 0, Optional.empty());
-        load(taught, volume(2), 40, 3, 0);
-        load(untaught, volume(3), 40, 3, 0);
-        pass(4);
-        long byTaught =
+                        Optional.of(
+                                networked("taught", running.serve.peerAddress().orElseThrow())));
+        Site isolated = site(second, 0, Optional.empty());
+        load(learning, volume(2), 40, 3, 0);
+        load(isolated, volume(3), 40, 3, 0);
+        sleep(4);
+        long byLearning =
                 first.get(0).arrivals.stream()
                         .filter(one -> one.volume().equals(volume(2)))
                         .count();
         figures.say("stale_requests_untaught", second.get(0).arrivals.size());
-        figures.atMost("stale_extra_requests", byTaught - second.get(0).arrivals.size(), 1);
-        for (Site site : List.of(running, taught, untaught)) {
+        figures.atMost("stale_extra_requests", byLearning - second.get(0).arrivals.size(), 1);
+        for (Site site : List.of(running, learning, isolated)) {
             site.close();
         }
     }
 
-    /** A thousand nodes, from the connect to the last word checked. */
-    private void transfer() throws Exception {
+    /** Transfers 1,000 observations, timed from the connect to the last one checked. */
+    private void measureTransfer() throws Exception {
         Path directory = Files.createTempDirectory("learned");
         Instant now = MonotonicClock.now();
-        List<NodeObservation> words = IntStream.range(0, 1000).mapToObj(i -> word(i, now)).toList();
+        List<NodeObservation> observations =
+                IntStream.range(0, 1000).mapToObj(i -> observation(i, now)).toList();
         new SnapshotStore(directory, "learned")
-                .write(Codec.snapshot("full", words, now), Instant.now());
+                .write(Codec.encodeSnapshot("full", observations, now), Instant.now());
         Config config = Site.config(Site.entry(0, "127.0.0.1:1", "active", 0), "127.0.0.1:1");
         try (Loop loop = new Loop();
                 Engine engine =
@@ -280,7 +298,7 @@
             PeersConfig peers =
                     new PeersConfig(
                             "full",
-                            talking("full").network(),
+                            networked("full").network(),
                             Optional.of(
                                     new PeersConfig.Snapshots(
                                             directory, Duration.ofHours(1), Duration.ofHours(1))),
@@ -304,7 +322,7 @@
         }
     }
 
-    private static NodeObservation word(int i, Instant now) {
+    private static NodeObservation observation(int i, Instant now) {
         return new NodeObservation(
                 "storage-node-" + i,
                 1_760_000_000_000_000L + i,
@@ -322,39 +340,41 @@
         try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
             DataInputStream in = new DataInputStream(socket.getInputStream());
             byte[] frame = in.readNBytes(in.readInt());
-            Transfer asked =
-                    new Transfer(
-                            Frames.nonce(frame), 5, 4096, true, List.of(), List.of(), Map.of());
-            byte[] sealed = Sealed.seal(keys, Codec.bytes(asked, MonotonicClock.now()));
-            socket.getOutputStream().write(Frames.frame(sealed).array());
+            TransferFrame request =
+                    new TransferFrame(
+                            FrameCodec.nonce(frame), 5, 4096, true, List.of(), List.of(), Map.of());
+            byte[] sealed = SealedMessage.seal(keys, Codec.encode(request, MonotonicClock.now()));
+            socket.getOutputStream().write(FrameCodec.encode(sealed).array());
             long bytes = 0;
             for (boolean last = false; !last; ) {
                 frame = in.readNBytes(in.readInt());
                 bytes += Integer.BYTES + frame.length;
-                last = Codec.transfer(Sealed.open(keys, frame), MonotonicClock.now()).last();
+                last =
+                        Codec.decodeTransfer(SealedMessage.open(keys, frame), MonotonicClock.now())
+                                .last();
             }
             return bytes;
         }
     }
 
     /**
-     * In virtual time: what membership costs by size, how soon a dead one is known, and who is
-     * wrongly dead.
+     * Measures in virtual time the traffic of the membership by group size, the time to detect a
+     * dead member, and members wrongly declared dead.
      */
-    private void members() {
+    private void measureMembership() {
         List<Double> bytes = new ArrayList<>();
         for (int count : new int[] {10, 50, 200}) {
             MemberNet net = new MemberNet(17, SwimSettings.defaults());
             net.loss = 0.05;
             IntStream.range(0, count).forEach(net::start);
-            net.pass(Duration.ofMinutes(10)); // by then all who came are known to all
+            net.pass(Duration.ofMinutes(10)); // by then all instances know each other
             net.size =
                     message -> {
                         Envelope envelope =
                                 new Envelope(1L << 60, 1L << 61, 1 << 20, Optional.of(message));
-                        return Sealed.HEAD
-                                + 28 // the heads of IPv4 and UDP
-                                + Codec.bytes(envelope).length;
+                        return SealedMessage.HEADER_BYTES
+                                + 28 // the headers of IPv4 and UDP
+                                + Codec.encode(envelope).length;
                     };
             net.pass(Duration.ofMinutes(1));
             bytes.add(net.bytes / 60.0 / count);
--- a/src/test/java/cypressglade/peer/PeersTest.java
+++ b/src/test/java/cypressglade/peer/PeersTest.java
@@ -15,6 +15,7 @@
 import cypressglade.member.Message;
 import cypressglade.member.Message.Kind;
 import cypressglade.member.SwimSettings;
+import cypressglade.peer.PeersConfig.Network;
 import cypressglade.share.Notice;
 import cypressglade.share.SharingSettings;
 import cypressglade.share.Verdicts.Verdict;
@@ -48,7 +49,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Instances that talk, on real sockets. */
+/** Tests instances that communicate over real sockets. */
 class PeersTest {
     private static final InetSocketAddress ANY = new InetSocketAddress("127.0.0.1", 0);
     private static final Duration LONG = Duration.ofSeconds(20);
@@ -71,11 +72,11 @@
         }
     }
 
-    private PeersConfig talking(String name, Duration wait, InetSocketAddress... seeds) {
+    private PeersConfig networked(String name, Duration wait, InetSocketAddress... seeds) {
         return new PeersConfig(
                 name,
                 Optional.of(
-                        new PeersConfig.Network(
+                        new Network(
                                 ANY,
                                 Optional.empty(),
                                 List.of(seeds),
@@ -126,8 +127,8 @@
     }
 
     /**
-     * Asks both nodes, so that the site knows which of them is silent; returns what the silent one
-     * was sent.
+     * Sends a request to both nodes, so that the site learns which one is silent; returns the
+     * number of requests that the silent one received.
      */
     private int learn(Site site) throws Exception {
         assertThat(ask(site, 0)).isEqualTo(200);
@@ -138,20 +139,20 @@
 
     @Test
     void newInstanceSendsNothingToANodeThatTheRunningOneFoundSilent() throws Exception {
-        Site running = site(talking("a", LONG));
+        Site running = site(networked("a", LONG));
         int sent = learn(running);
-        PeersConfig second = talking("b", LONG, running.serve.peerAddress().orElseThrow());
+        PeersConfig second = networked("b", LONG, running.serve.peerAddress().orElseThrow());
         Site.await(
                 () -> report(running).observations().stream().anyMatch(NodeObservation::isSilent));
-        Site taught = site(second);
-        assertThat(count(taught, Name.HINTS_TAKEN)).isPositive();
-        assertThat(ask(taught, 0)).isEqualTo(200);
-        assertThat(ask(taught, 1)).isEqualTo(503);
+        Site newInstance = site(second);
+        assertThat(count(newInstance, Name.HINTS_TAKEN)).isPositive();
+        assertThat(ask(newInstance, 0)).isEqualTo(200);
+        assertThat(ask(newInstance, 1)).isEqualTo(503);
         assertThat(silent.arrivals).hasSize(sent);
         Site.await(() -> report(running).members().size() == 2);
-        assertThat(report(taught).counters()).containsEntry("shares_cold_among", 2L);
-        open.remove(taught);
-        taught.close();
+        assertThat(report(newInstance).counters()).containsEntry("shares_cold_among", 2L);
+        open.remove(newInstance);
+        newInstance.close();
         Site.await(() -> report(running).members().get(1).state() == State.LEFT);
     }
 
@@ -163,14 +164,14 @@
         }
     }
 
-    /** Killed or stopped and started again: from its own snapshot, unless that is another's. */
+    /** An instance that is started again uses its snapshot, but not one of another name. */
     @ParameterizedTest
     @CsvSource({"a, true", "b, false"})
     void restartLearnsFromItsOwnSnapshot(String name, boolean learns) throws Exception {
         Site first = site(alone("a"));
         int sent = learn(first);
         Site.await(() -> count(first, Name.SNAPSHOTS_WRITTEN) >= 2);
-        // the first runs on, as a killed one would write nothing more either
+        // the first keeps running: a killed one would write nothing more either
         Site again = site(alone(name));
         if (learns) {
             Site.await(() -> count(again, Name.HINTS_TAKEN) == 2);
@@ -184,82 +185,90 @@
     }
 
     /**
-     * A peer that takes the connection and is silent, or is not there: the doors open all the same,
-     * in time.
+     * If a peer accepts the connection and sends nothing, or is not running, the listeners still
+     * open in time.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void startWaitsForAPeerNoLongerThanItsBound(boolean there) throws Exception {
-        if (!there) {
+    void startWaitsForAPeerNoLongerThanConfigured(boolean isRunning) throws Exception {
+        if (!isRunning) {
             silent.close();
         }
         Instant started = Instant.now();
-        Site site = site(talking("a", Duration.ofMillis(200), silent.address()));
+        Site site = site(networked("a", Duration.ofMillis(200), silent.address()));
         assertThat(Duration.between(started, Instant.now())).isLessThan(Duration.ofSeconds(3));
         assertThat(ask(site, 0)).isEqualTo(200);
         Site.await(() -> count(site, Name.TRANSFERS_BROKEN) > 0);
     }
 
     /**
-     * Answers the first frame of a transfer and then breaks off, stalls, lies, or replays what it
-     * said to another.
+     * Sends the first frame of a transfer and then closes the connection, stalls, sends implausible
+     * values, or replays an answer that was meant for another.
      */
-    private final class BadPeer extends StandIn {
-        private final String way;
-        private final CountDownLatch goOn = new CountDownLatch(1);
+    private final class FaultyPeer extends StandIn {
+        private final String behavior;
+        private final CountDownLatch proceed = new CountDownLatch(1);
 
-        BadPeer(String way) {
-            this.way = way;
+        FaultyPeer(String behavior) {
+            this.behavior = behavior;
             open.add(this);
         }
 
         @Override
         protected void talk(DataInputStream in, DataOutputStream out) throws Exception {
-            frame(out, Frames.nonce(42));
-            byte[] question = new byte[in.readInt()];
-            in.readFully(question);
+            frame(out, FrameCodec.nonce(42));
+            byte[] request = new byte[in.readInt()];
+            in.readFully(request);
             Instant now = MonotonicClock.now();
-            Transfer asked = Codec.transfer(Sealed.open(keys, question), now);
-            NodeObservation word = word("s-1", way.equals("lies") ? Double.NaN : 5000, now, "z", 1);
+            TransferFrame decoded = Codec.decodeTransfer(SealedMessage.open(keys, request), now);
+            NodeObservation observation =
+                    observation("s-1", behavior.equals("lies") ? Double.NaN : 5000, now, "z", 1);
             byte[] first =
-                    Sealed.seal(
+                    SealedMessage.seal(
                             keys,
-                            Codec.bytes(
-                                    new Transfer(
-                                            asked.ask() + (way.equals("replays") ? 1 : 0),
+                            Codec.encode(
+                                    new TransferFrame(
+                                            decoded.clientNonce()
+                                                    + (behavior.equals("replays") ? 1 : 0),
                                             0,
                                             0,
-                                            way.equals("lies") || way.equals("replays"),
+                                            behavior.equals("lies") || behavior.equals("replays"),
                                             List.of(),
-                                            way.equals("goes on") ? List.of() : List.of(word),
+                                            behavior.equals("goes on")
+                                                    ? List.of()
+                                                    : List.of(observation),
                                             Map.of()),
                                     now));
             frame(out, first);
-            if (way.equals("goes on")) {
-                goOn.await();
+            if (behavior.equals("goes on")) {
+                proceed.await();
                 List<NodeObservation> later =
-                        Stream.of("s-0", "s-1").map(id -> word(id, 5000, now, "y", 2)).toList();
-                Transfer last = new Transfer(asked.ask(), 0, 1, true, List.of(), later, Map.of());
-                frame(out, Sealed.seal(keys, Codec.bytes(last, now)));
+                        Stream.of("s-0", "s-1")
+                                .map(id -> observation(id, 5000, now, "y", 2))
+                                .toList();
+                TransferFrame last =
+                        new TransferFrame(
+                                decoded.clientNonce(), 0, 1, true, List.of(), later, Map.of());
+                frame(out, SealedMessage.seal(keys, Codec.encode(last, now)));
             }
-            if (!way.equals("breaks off")) {
+            if (!behavior.equals("breaks off")) {
                 in.read();
             }
         }
 
-        private static NodeObservation word(
-                String id, double pace, Instant now, String by, long life) {
+        private static NodeObservation observation(
+                String id, double serviceTime, Instant now, String issuer, long generation) {
             return new NodeObservation(
                     id,
                     0,
-                    pace,
+                    serviceTime,
                     0,
                     0,
                     0,
                     9,
                     Duration.ofSeconds(1),
                     now.minusSeconds(1),
-                    new Origin(by, life));
+                    new Origin(issuer, generation));
         }
 
         private void frame(DataOutputStream out, byte[] frame) throws IOException {
@@ -271,9 +280,9 @@
 
     @ParameterizedTest
     @CsvSource({"breaks off, 1, 0", "stalls, 1, 0", "replays, 0, 0", "lies, 0, 1"})
-    void whatCameBeforeATransferBrokeCountsAndNothingElse(String way, long hints, long refused)
-            throws Exception {
-        Site site = site(talking("a", LONG, new BadPeer(way).address()));
+    void onlyValidFramesReceivedBeforeATransferFailsAreUsed(
+            String behavior, long hints, long refused) throws Exception {
+        Site site = site(networked("a", LONG, new FaultyPeer(behavior).address()));
         Site.await(
                 () -> count(site, Name.TRANSFERS_BROKEN) + count(site, Name.TRANSFERS_TAKEN) > 0);
         assertThat(count(site, Name.HINTS_TAKEN)).isEqualTo(hints);
@@ -282,31 +291,29 @@
     }
 
     /**
-     * The node changes while word of it is on its way: word of an earlier run, or of one that
-     * drains, is not taught.
+     * A node changes while an observation of it is in transit: observations of an earlier start of
+     * the node, or of one that drains, give no hint.
      */
     @ParameterizedTest
     @CsvSource({"active, 0, 2", "leaving, 0, 1", "left, 0, 1", "active, 1700000000000, 1"})
-    void nodesThatChangeMidTransferAreNotTaughtByOldWord(String state, long startedMs, long hints)
+    void outdatedObservationsOfChangedNodesGiveNoHints(String state, long startedMs, long hints)
             throws Exception {
-        BadPeer peer = new BadPeer("goes on");
-        Site site = site(talking("a", Duration.ZERO, peer.address()));
+        FaultyPeer peer = new FaultyPeer("goes on");
+        Site site = site(networked("a", Duration.ZERO, peer.address()));
         Site.await(() -> peer.connections.get() == 1);
         site.tell(42, Site.entry(1, silent.hostPort(), state, startedMs));
-        peer.goOn.countDown();
-        Site.await(
-                () ->
-                        count(site, Name.HINTS_TAKEN)
-                                > 0); // what is taught of both nodes is decided at once
+        peer.proceed.countDown();
+        // the hints of both nodes are decided at once
+        Site.await(() -> count(site, Name.HINTS_TAKEN) > 0);
         assertThat(count(site, Name.HINTS_TAKEN)).isEqualTo(hints);
     }
 
-    /** A peer made by hand, datagram by datagram. */
-    private final class Hand implements AutoCloseable {
+    /** A peer of which the test makes each datagram. */
+    private final class DatagramPeer implements AutoCloseable {
         private final DatagramSocket socket = new DatagramSocket(ANY);
         private final InetSocketAddress to;
 
-        Hand(Site site) throws IOException {
+        DatagramPeer(Site site) throws IOException {
             to = site.serve.peerAddress().orElseThrow();
             socket.setSoTimeout(5000);
             open.add(this);
@@ -316,7 +323,7 @@
             socket.send(new DatagramPacket(bytes, bytes.length, to));
         }
 
-        byte[] ping(KeyRing with, long life, long number) {
+        byte[] ping(KeyRing ring, long generation, long sequenceNumber) {
             Member self =
                     new Member(
                             "h",
@@ -324,13 +331,13 @@
                             77,
                             0,
                             State.ALIVE);
-            return Sealed.seal(
-                    with,
-                    Codec.bytes(
+            return SealedMessage.seal(
+                    ring,
+                    Codec.encode(
                             new Envelope(
                                     77,
-                                    life,
-                                    number,
+                                    generation,
+                                    sequenceNumber,
                                     Optional.of(
                                             new Message(
                                                     Kind.PING,
@@ -353,38 +360,38 @@
     }
 
     @Test
-    void messagesCountOnceAndOnlyForTheLifeThatTheyAreMeantFor() throws Exception {
-        Site site = site(talking("a", LONG));
-        Hand hand = new Hand(site);
-        hand.send(hand.ping(keys, 0, 1));
-        Envelope life = Codec.envelope(Sealed.open(keys, hand.next()));
-        assertThat(life.message()).isEmpty();
-        assertThat(life.to()).isEqualTo(77);
+    void messagesAreAcceptedOnceAndOnlyForTheCurrentGeneration() throws Exception {
+        Site site = site(networked("a", LONG));
+        DatagramPeer peer = new DatagramPeer(site);
+        peer.send(peer.ping(keys, 0, 1));
+        Envelope reply = Codec.decodeEnvelope(SealedMessage.open(keys, peer.next()));
+        assertThat(reply.message()).isEmpty();
+        assertThat(reply.receiverGeneration()).isEqualTo(77);
         assertThat(report(site).members()).hasSize(1);
-        byte[] good = hand.ping(keys, life.from(), 2);
-        hand.send(good);
-        Envelope ack = Codec.envelope(Sealed.open(keys, hand.next()));
+        byte[] good = peer.ping(keys, reply.senderGeneration(), 2);
+        peer.send(good);
+        Envelope ack = Codec.decodeEnvelope(SealedMessage.open(keys, peer.next()));
         assertThat(ack.message().orElseThrow().kind()).isEqualTo(Kind.ACK);
         assertThat(report(site).members()).extracting(Member::name).containsExactly("a", "h");
         long refused = count(site, Name.PEER_REFUSED);
-        hand.send(good);
+        peer.send(good);
         Site.await(() -> count(site, Name.PEER_REFUSED) == refused + 1);
     }
 
     @Test
-    void badDatagramsAreCountedAndDisturbNothing() throws Exception {
-        Site site = site(talking("a", LONG));
-        Hand hand = new Hand(site);
-        hand.send(new byte[] {9, 1, 2, 3, 4});
-        assertThat(hand.next()).isEqualTo(Sealed.no());
+    void badDatagramsAreCountedAndChangeNothing() throws Exception {
+        Site site = site(networked("a", LONG));
+        DatagramPeer peer = new DatagramPeer(site);
+        peer.send(new byte[] {9, 1, 2, 3, 4});
+        assertThat(peer.next()).isEqualTo(SealedMessage.versionMismatch());
         KeyRing wrong = KeyRing.parse("w", "1 " + "0c".repeat(32));
-        hand.send(hand.ping(wrong, 0, 1));
-        hand.send(new byte[0]);
-        hand.send(new byte[20_000]);
-        hand.send(Sealed.seal(keys, new byte[] {1, 2, 3}));
+        peer.send(peer.ping(wrong, 0, 1));
+        peer.send(new byte[0]);
+        peer.send(new byte[20_000]);
+        peer.send(SealedMessage.seal(keys, new byte[] {1, 2, 3}));
         Site.await(() -> count(site, Name.PEER_REFUSED) >= 4);
-        hand.socket.setSoTimeout(50);
-        assertThatThrownBy(hand::next).isInstanceOf(SocketTimeoutException.class);
+        peer.socket.setSoTimeout(50);
+        assertThatThrownBy(peer::next).isInstanceOf(SocketTimeoutException.class);
         assertThat(report(site).members()).hasSize(1);
         assertThatThrownBy(() -> PeerReport.fetch(site.serve.peerAddress().orElseThrow(), wrong))
                 .isInstanceOf(IOException.class)
@@ -392,14 +399,14 @@
         assertThat(ask(site, 0)).isEqualTo(200);
     }
 
-    /** Guards memory and the requests: what cannot be taken in is dropped and counted. */
+    /** Datagrams that cannot be queued are dropped and counted, to protect memory and requests. */
     @Test
     void floodOfDatagramsDoesNotStopRequests() throws Exception {
-        Site site = site(talking("a", LONG));
-        Hand hand = new Hand(site);
-        byte[] bytes = hand.ping(keys, 3, 1);
+        Site site = site(networked("a", LONG));
+        DatagramPeer peer = new DatagramPeer(site);
+        byte[] bytes = peer.ping(keys, 3, 1);
         for (int i = 0; i < 5000; i++) {
-            hand.send(bytes);
+            peer.send(bytes);
             if (i % 500 == 0) {
                 assertThat(ask(site, 0)).isEqualTo(200);
             }
@@ -409,8 +416,8 @@
     }
 
     @Test
-    void keysChangeInServiceOneInstanceAfterTheOther() throws Exception {
-        Site site = site(talking("a", LONG));
+    void keysAreReplacedWithoutARestart() throws Exception {
+        Site site = site(networked("a", LONG));
         InetSocketAddress at = site.serve.peerAddress().orElseThrow();
         String next = "2 " + "0b".repeat(32);
         List<String> steps =
@@ -424,7 +431,7 @@
             site.serve.use(
                     site.config,
                     new OperatorFiles(
-                            Optional.empty(), Optional.of(talking("a", LONG)), Optional.empty()));
+                            Optional.empty(), Optional.of(networked("a", LONG)), Optional.empty()));
             assertThat(PeerReport.fetch(at, KeyRing.parse("k", steps.get(i - 1))).members())
                     .hasSize(1);
         }
@@ -433,45 +440,48 @@
     }
 
     /**
-     * A verdict counts with a key of the ring and a name of the roster; without the first it is not
-     * even read.
+     * A verdict is accepted if it is signed with a key of the ring and issued by a name of the
+     * roster; without the key it is not even decoded.
      */
     @Test
-    void aVerdictOfAStrangersKeyOrNameIsTurnedAway() throws Exception {
-        PeersConfig.Network plain = talking("a", LONG).network().orElseThrow();
-        SharingSettings terms =
+    void verdictsOfUnknownKeysOrNamesAreRejected() throws Exception {
+        Network defaults = networked("a", LONG).network().orElseThrow();
+        SharingSettings settings =
                 new SharingSettings(Set.of("a", "h"), 0.25, 2, Duration.ofSeconds(1));
-        PeersConfig.Network sharing =
-                new PeersConfig.Network(
-                        plain.listenAddress(),
-                        plain.advertisedAddress(),
-                        plain.seeds(),
+        Network sharing =
+                new Network(
+                        defaults.listenAddress(),
+                        defaults.advertisedAddress(),
+                        defaults.seeds(),
                         keys,
-                        plain.refreshInterval(),
+                        defaults.refreshInterval(),
                         true,
-                        plain.swimSettings(),
+                        defaults.swimSettings(),
                         true,
-                        Optional.of(terms));
+                        Optional.of(settings));
         Site site = site(new PeersConfig("a", Optional.of(sharing), Optional.empty(), 100, LONG));
-        Hand hand = new Hand(site);
-        hand.send(hand.ping(keys, 0, 1));
-        long life = Codec.envelope(Sealed.open(keys, hand.next())).from();
+        DatagramPeer peer = new DatagramPeer(site);
+        peer.send(peer.ping(keys, 0, 1));
+        long generation =
+                Codec.decodeEnvelope(SealedMessage.open(keys, peer.next())).senderGeneration();
         long refused = count(site, Name.PEER_REFUSED);
-        hand.send(verdict(KeyRing.parse("w", "1 " + "0c".repeat(32)), life, 2, "h", "s-0"));
+        peer.send(verdict(KeyRing.parse("w", "1 " + "0c".repeat(32)), generation, 2, "h", "s-0"));
         Site.await(() -> count(site, Name.PEER_REFUSED) == refused + 1);
-        hand.send(verdict(keys, life, 3, "x", "s-0"));
+        peer.send(verdict(keys, generation, 3, "x", "s-0"));
         Site.await(() -> report(site).counters().get("shared_turned_away") == 1);
         assertThat(report(site).counters()).containsEntry("verdicts_held", 0L);
         assertThat(ask(site, 0)).isEqualTo(200);
-        hand.send(verdict(keys, life, 4, "h", "s-0"));
+        peer.send(verdict(keys, generation, 4, "h", "s-0"));
         Site.await(() -> report(site).counters().get("verdicts_held") == 1);
         assertThat(ask(site, 0)).as("its node is excluded now").isEqualTo(503);
     }
 
-    private static byte[] verdict(KeyRing with, long life, long number, String by, String node) {
-        Verdict verdict = new Verdict("node " + node, "exclude", Instant.now(), by, 1);
+    private static byte[] verdict(
+            KeyRing ring, long generation, long sequenceNumber, String issuer, String node) {
+        Verdict verdict = new Verdict("node " + node, "exclude", Instant.now(), issuer, 1);
         Notice notice = new Notice(0, Map.of(), List.of(), List.of(verdict));
-        Envelope envelope = new Envelope(77, life, number, Optional.empty(), Optional.of(notice));
-        return Sealed.seal(with, Codec.bytes(envelope));
+        Envelope envelope =
+                new Envelope(77, generation, sequenceNumber, Optional.empty(), Optional.of(notice));
+        return SealedMessage.seal(ring, Codec.encode(envelope));
     }
 }
