--- a/src/main/java/cypressglade/cli/Serve.java
+++ b/src/main/java/cypressglade/cli/Serve.java
@@ -116,7 +116,7 @@
         nbdNodes = files.nbd().map(front -> new NbdNodeLink(connections, front));
         engine.start(
                 node ->
-                        nbdNodes.isPresent() && nbdNodes.get().speaksTo(directory.findReady(node))
+                        nbdNodes.isPresent() && nbdNodes.get().isNbdNode(directory.findReady(node))
                                 ? nbdNodes.get()
                                 : nodes);
         HandDrains drains = new HandDrains(engine::updateNodes, this::decided);
@@ -341,8 +341,8 @@
         deal(next);
         discovery.use(next.discovery(), next.nodeLists());
         if (files.nbd().isPresent() && blockClients.isPresent()) {
-            nbdNodes.get().use(files.nbd().get());
-            blockClients.get().use(files.nbd().get(), next.settings());
+            nbdNodes.get().reconfigure(files.nbd().get());
+            blockClients.get().reconfigure(files.nbd().get(), next.settings());
         }
         if (files.peers().isPresent() && peers.isPresent()) {
             peers.get().use(files.peers().get());
@@ -419,7 +419,7 @@
         if (door.filter(Doorway::relieved).isPresent()) {
             clients.leavePort();
         }
-        blockClients.ifPresent(NbdListener::leave);
+        blockClients.ifPresent(NbdListener::refuseHandshakes);
         clients.answerBy(served);
         if (blockClients.isPresent()) {
             Instant refused = told.plus(SERVE_ON);
--- a/src/main/java/cypressglade/nbd/NbdListener.java
+++ b/src/main/java/cypressglade/nbd/NbdListener.java
@@ -60,7 +60,7 @@
     }
 
     /** Takes a new configuration and the settings that it names: the next command goes by them. */
-    public void use(NbdConfig next, Settings nextSettings) {
+    public void reconfigure(NbdConfig next, Settings nextSettings) {
         config = next;
         settings = nextSettings;
     }
@@ -70,7 +70,7 @@
     }
 
     /** From now on a handshake is told that this program shuts down. */
-    public void leave() {
+    public void refuseHandshakes() {
         leaving = true;
     }
 
--- a/src/main/java/cypressglade/nbd/NbdNodeLink.java
+++ b/src/main/java/cypressglade/nbd/NbdNodeLink.java
@@ -30,12 +30,12 @@
     }
 
     /** Takes a new configuration: the next command goes by it. */
-    public void use(NbdConfig next) {
+    public void reconfigure(NbdConfig next) {
         config = next;
     }
 
     /** Whether a node is one of this front's. */
-    public boolean speaksTo(Optional<NodeDirectory.ListedNode> node) {
+    public boolean isNbdNode(Optional<NodeDirectory.ListedNode> node) {
         return node.isPresent() && config.nodes().containsKey(node.get().id());
     }
 
