--- a/src/main/java/cypressglade/nbd/ClientHandshake.java
+++ b/src/main/java/cypressglade/nbd/ClientHandshake.java
@@ -6,124 +6,134 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * This program's side of a handshake with a node: fixed newstyle, structured replies where it has
- * them.
+ * The client side of the handshake with a storage node: fixed newstyle, with structured replies
+ * where the node supports them. Opens the export by {@code NBD_OPT_GO}, or by {@code
+ * NBD_OPT_EXPORT_NAME} where the node does not know that option. Runs on the I/O thread.
  */
 final class ClientHandshake implements Wire.Listener {
-    private static final int MOST_OPTION_REPLY = 64 * 1024;
-    private static final int GO_FIXED = 6;
+    private static final int MAX_OPTION_REPLY_BYTES = 64 * 1024;
+    // NBD_OPT_GO without the export name: name length and number of information requests.
+    private static final int GO_FIXED_BYTES = 6;
 
     private final Wire wire;
     private final NbdConfig.Export export;
-    private final Runnable ready;
-    private final Runnable unusable;
-    private final Pieces pieces = new Pieces();
-    private int option;
-    private boolean sizeKnown;
-    private boolean done;
-    private boolean noZeroes;
+    private final Runnable onReady;
+    private final Runnable onFailure;
+    private final SectionReader sections = new SectionReader();
+    private int pendingOption;
+    private boolean isSizeKnown;
+    private boolean isComplete;
+    private boolean omitsZeroes;
 
-    ClientHandshake(Wire wire, NbdConfig.Export export, Runnable ready, Runnable unusable) {
+    ClientHandshake(Wire wire, NbdConfig.Export export, Runnable onReady, Runnable onFailure) {
         this.wire = wire;
         this.export = export;
-        this.ready = ready;
-        this.unusable = unusable;
-        pieces.expect(18, this::greeting);
+        this.onReady = onReady;
+        this.onFailure = onFailure;
+        sections.expect(NbdProtocol.GREETING_BYTES, this::handleGreeting);
     }
 
     @Override
     public void received(ByteBuffer in) throws IOException {
-        pieces.feed(in);
-        if (done) {
+        sections.feed(in);
+        if (isComplete) {
             if (in.hasRemaining()) {
-                throw new IOException("something follows the handshake");
+                throw new IOException("unexpected data after the handshake");
             }
-            ready.run();
+            onReady.run();
         }
     }
 
     @Override
     public void ended() {
-        unusable.run();
+        onFailure.run();
     }
 
-    private void greeting(ByteBuffer piece) throws IOException {
-        if (piece.getLong() != Nbd.NBDMAGIC || piece.getLong() != Nbd.IHAVEOPT) {
-            throw new IOException("not an NBD server of the newstyle");
+    private void handleGreeting(ByteBuffer section) throws IOException {
+        if (section.getLong() != NbdProtocol.NBDMAGIC
+                || section.getLong() != NbdProtocol.IHAVEOPT) {
+            throw new IOException("not an NBD server with newstyle negotiation");
         }
-        int flags = piece.getShort();
-        if ((flags & Nbd.FLAG_FIXED_NEWSTYLE) == 0) {
-            throw new IOException("the server is not fixed newstyle");
+        int flags = section.getShort();
+        if ((flags & NbdProtocol.FLAG_FIXED_NEWSTYLE) == 0) {
+            throw new IOException("the NBD server does not support fixed newstyle negotiation");
         }
-        noZeroes = (flags & Nbd.FLAG_NO_ZEROES) != 0;
-        int ours = flags & (Nbd.FLAG_FIXED_NEWSTYLE | Nbd.FLAG_NO_ZEROES);
-        wire.send(ByteBuffer.allocate(4).putInt(ours).flip());
-        option(Nbd.OPT_STRUCTURED_REPLY, ByteBuffer.allocate(0));
-        pieces.expect(Nbd.OPTION_REPLY_HEADER, this::replyHeader);
+        omitsZeroes = (flags & NbdProtocol.FLAG_NO_ZEROES) != 0;
+        int clientFlags = flags & (NbdProtocol.FLAG_FIXED_NEWSTYLE | NbdProtocol.FLAG_NO_ZEROES);
+        wire.send(ByteBuffer.allocate(4).putInt(clientFlags).flip());
+        sendOption(NbdProtocol.OPT_STRUCTURED_REPLY, ByteBuffer.allocate(0));
+        sections.expect(NbdProtocol.OPTION_REPLY_HEADER_BYTES, this::handleReplyHeader);
     }
 
-    private void option(int number, ByteBuffer data) {
-        option = number;
+    private void sendOption(int number, ByteBuffer data) {
+        pendingOption = number;
         wire.send(
-                ByteBuffer.allocate(Nbd.OPTION_HEADER + data.remaining())
-                        .putLong(Nbd.IHAVEOPT)
+                ByteBuffer.allocate(NbdProtocol.OPTION_HEADER_BYTES + data.remaining())
+                        .putLong(NbdProtocol.IHAVEOPT)
                         .putInt(number)
                         .putInt(data.remaining())
                         .put(data)
                         .flip());
     }
 
-    private void replyHeader(ByteBuffer piece) throws IOException {
-        if (piece.getLong() != Nbd.OPTION_REPLY_MAGIC || piece.getInt() != option) {
-            throw new IOException("not a reply to the option");
+    private void handleReplyHeader(ByteBuffer section) throws IOException {
+        if (section.getLong() != NbdProtocol.OPTION_REPLY_MAGIC
+                || section.getInt() != pendingOption) {
+            throw new IOException("not a reply to the pending option");
         }
-        int type = piece.getInt();
-        int length = piece.getInt();
-        if (length < 0 || length > MOST_OPTION_REPLY) {
+        int type = section.getInt();
+        int length = section.getInt();
+        if (length < 0 || length > MAX_OPTION_REPLY_BYTES) {
             throw new IOException(
-                    "an option reply of " + Integer.toUnsignedString(length) + " bytes");
+                    "option reply of " + Integer.toUnsignedString(length) + " bytes is too long");
         }
-        pieces.expect(length, data -> reply(type, data));
+        sections.expect(length, data -> handleReply(type, data));
     }
 
-    private void reply(int type, ByteBuffer data) throws IOException {
+    private void handleReply(int type, ByteBuffer data) throws IOException {
         byte[] name = export.name().getBytes(StandardCharsets.UTF_8);
-        if (option == Nbd.OPT_STRUCTURED_REPLY
-                && (type == Nbd.REP_ACK || type == Nbd.REP_ERR_UNSUP)) {
-            option(
-                    Nbd.OPT_GO,
-                    ByteBuffer.allocate(GO_FIXED + name.length)
+        if (pendingOption == NbdProtocol.OPT_STRUCTURED_REPLY
+                && (type == NbdProtocol.REP_ACK || type == NbdProtocol.REP_ERR_UNSUP)) {
+            sendOption(
+                    NbdProtocol.OPT_GO,
+                    ByteBuffer.allocate(GO_FIXED_BYTES + name.length)
                             .putInt(name.length)
                             .put(name)
                             .putShort((short) 0)
                             .flip());
-        } else if (option == Nbd.OPT_GO && type == Nbd.REP_INFO) {
-            if (data.remaining() >= 12 && data.getShort() == Nbd.INFO_EXPORT) {
-                size(data.getLong());
+        } else if (pendingOption == NbdProtocol.OPT_GO && type == NbdProtocol.REP_INFO) {
+            if (data.remaining() >= 12 && data.getShort() == NbdProtocol.INFO_EXPORT) {
+                checkSize(data.getLong());
             }
-        } else if (option == Nbd.OPT_GO && type == Nbd.REP_ACK && sizeKnown) {
-            done = true;
+        } else if (pendingOption == NbdProtocol.OPT_GO
+                && type == NbdProtocol.REP_ACK
+                && isSizeKnown) {
+            isComplete = true;
             return;
-        } else if (option == Nbd.OPT_GO && type == Nbd.REP_ERR_UNSUP) {
-            option(Nbd.OPT_EXPORT_NAME, ByteBuffer.wrap(name));
-            pieces.expect(
-                    10 + (noZeroes ? 0 : Nbd.EXPORT_NAME_ZEROES),
-                    answer -> {
-                        size(answer.getLong());
-                        done = true;
+        } else if (pendingOption == NbdProtocol.OPT_GO && type == NbdProtocol.REP_ERR_UNSUP) {
+            sendOption(NbdProtocol.OPT_EXPORT_NAME, ByteBuffer.wrap(name));
+            sections.expect(
+                    NbdProtocol.EXPORT_NAME_REPLY_BYTES
+                            + (omitsZeroes ? 0 : NbdProtocol.EXPORT_NAME_PADDING_BYTES),
+                    reply -> {
+                        checkSize(reply.getLong());
+                        isComplete = true;
                     });
             return;
         } else {
             throw new IOException(
-                    "option " + option + " was answered " + Integer.toHexString(type));
+                    "option "
+                            + pendingOption
+                            + " received unexpected reply type 0x"
+                            + Integer.toHexString(type));
         }
-        pieces.expect(Nbd.OPTION_REPLY_HEADER, this::replyHeader);
+        sections.expect(NbdProtocol.OPTION_REPLY_HEADER_BYTES, this::handleReplyHeader);
     }
 
-    private void size(long size) throws IOException {
+    private void checkSize(long size) throws IOException {
         if (size < export.size()) {
-            throw new IOException("the node's export is smaller than ours");
+            throw new IOException("the node's export is smaller than the configured size");
         }
-        sizeKnown = true;
+        isSizeKnown = true;
     }
 }
--- a/src/main/java/cypressglade/nbd/NbdListener.java
+++ b/src/main/java/cypressglade/nbd/NbdListener.java
@@ -20,10 +20,14 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Where NBD clients connect. It decides nothing: each command goes to the core as a request. */
+/**
+ * Accepts NBD clients. Makes no scheduling decisions: each command, or each part of one, goes to
+ * the core as a request. Connections are handled on the I/O thread; {@link #reconfigure}, {@link
+ * #refuseHandshakes} and {@link #refuseCommands} may be called from any thread.
+ */
 public final class NbdListener implements AutoCloseable {
-    private static final int MOST_CLIENTS = 12;
-    private static final Duration HANDSHAKE_LIMIT = Duration.ofSeconds(10);
+    private static final int MAX_CLIENTS = 12;
+    private static final Duration HANDSHAKE_TIMEOUT = Duration.ofSeconds(10);
 
     private final Loop loop;
     private volatile NbdConfig config;
@@ -32,12 +36,17 @@
     private final NodeDirectory directory;
     private final Counters counters;
     private final RequestPool pool;
-    private final NodeLink<NbdWork> link;
+    private final NodeLink<NodeCommand> link;
     private final Listening listening;
     private final Set<Wire> clients = new HashSet<>();
-    private volatile boolean leaving;
-    private volatile boolean refusing;
-
+    private volatile boolean refusingHandshakes;
+    private volatile boolean refusingCommands;
+
+    /**
+     * Starts to accept clients on the configured address.
+     *
+     * @throws IOException if the address cannot be bound
+     */
     public NbdListener(
             Loop loop,
             NbdConfig config,
@@ -59,24 +68,25 @@
         listening = loop.listen(config.listen(), this::accept);
     }
 
-    /** Takes a new configuration and the settings that it names: the next command goes by them. */
+    /** Sets a new configuration and its settings, which apply from the next command. */
     public void reconfigure(NbdConfig next, Settings nextSettings) {
         config = next;
         settings = nextSettings;
     }
 
+    /** Returns the address that the listener is bound to. */
     public InetSocketAddress address() {
         return listening.address();
     }
 
-    /** From now on a handshake is told that this program shuts down. */
+    /** Rejects handshakes from now on, with the error that this server is shutting down. */
     public void refuseHandshakes() {
-        leaving = true;
+        refusingHandshakes = true;
     }
 
-    /** From now on no command is taken. */
+    /** Rejects commands from now on, with {@code NBD_ESHUTDOWN}. */
     public void refuseCommands() {
-        refusing = true;
+        refusingCommands = true;
     }
 
     @Override
@@ -85,7 +95,7 @@
     }
 
     private void accept(Wire wire) {
-        if (clients.size() >= MOST_CLIENTS) {
+        if (clients.size() >= MAX_CLIENTS) {
             wire.close();
             return;
         }
@@ -94,36 +104,36 @@
                 new ServerHandshake(
                         wire,
                         config,
-                        this::drains,
+                        this::isDraining,
                         (export, structured) -> new Transmission(this, wire, export, structured),
-                        () -> left(wire));
+                        () -> removeClient(wire));
         loop.after(
-                HANDSHAKE_LIMIT,
+                HANDSHAKE_TIMEOUT,
                 () -> {
-                    if (!handshake.over()) {
-                        left(wire);
+                    if (!handshake.isComplete()) {
+                        removeClient(wire);
                         wire.close();
                     }
                 });
     }
 
-    private boolean drains(Optional<Export> export) {
-        return leaving
+    private boolean isDraining(Optional<Export> export) {
+        return refusingHandshakes
                 || export.isPresent()
                         && export.get().extents().stream()
                                 .anyMatch(extent -> directory.isDraining(extent.shard()));
     }
 
-    void left(Wire wire) {
+    void removeClient(Wire wire) {
         clients.remove(wire);
     }
 
-    boolean drains(int shard) {
-        return leaving || directory.isDraining(shard);
+    boolean isDraining(int shard) {
+        return refusingHandshakes || directory.isDraining(shard);
     }
 
     boolean refusesCommands() {
-        return refusing;
+        return refusingCommands;
     }
 
     NbdConfig config() {
@@ -134,12 +144,12 @@
         return settings;
     }
 
-    NodeLink<NbdWork> link() {
+    NodeLink<NodeCommand> link() {
         return link;
     }
 
-    /** The most that one request of the core may carry. */
-    int mostBytes() {
+    /** Returns the largest number of bytes that one request to the core may read or write. */
+    int maxRequestBytes() {
         return (int) Math.max(1, settings.maxUnits()) * config.unitBytes();
     }
 
@@ -147,12 +157,15 @@
         loop.execute(task);
     }
 
-    RequestTask<NbdWork> life(
-            IoRequest request, NbdWork work, Responder caller, NodeLink<NbdWork> way) {
-        return new RequestTask<>(engine, counters, request, work, caller, way);
+    RequestTask<NodeCommand> createTask(
+            IoRequest request,
+            NodeCommand command,
+            Responder responder,
+            NodeLink<NodeCommand> nodeLink) {
+        return new RequestTask<>(engine, counters, request, command, responder, nodeLink);
     }
 
-    boolean start(RequestTask<NbdWork> life) {
-        return pool.start(life);
+    boolean start(RequestTask<NodeCommand> task) {
+        return pool.start(task);
     }
 }
--- a/src/main/java/cypressglade/nbd/NbdNodeLink.java
+++ b/src/main/java/cypressglade/nbd/NbdNodeLink.java
@@ -16,25 +16,29 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** Storage nodes that are NBD servers, one command at a time on each connection. */
-public final class NbdNodeLink implements NodeLink<NbdWork> {
-    private static final String PROBE = "/probe";
+/**
+ * Sends commands to storage nodes that are NBD servers, one command at a time on each connection.
+ * Connections are pooled by node and export, as a handshake opens one export.
+ */
+public final class NbdNodeLink implements NodeLink<NodeCommand> {
+    private static final String PROBE_PURPOSE = "/probe";
 
     private final NodePool pool;
     private volatile NbdConfig config;
     private long lastCookie;
 
+    /** Creates a link to the nodes in {@code config} that takes its connections from a pool. */
     public NbdNodeLink(NodePool pool, NbdConfig config) {
         this.pool = pool;
         this.config = config;
     }
 
-    /** Takes a new configuration: the next command goes by it. */
+    /** Sets a new configuration, which applies from the next command. */
     public void reconfigure(NbdConfig next) {
         config = next;
     }
 
-    /** Whether a node is one of this front's. */
+    /** Returns whether a node is listed in this front's configuration. */
     public boolean isNbdNode(Optional<NodeDirectory.ListedNode> node) {
         return node.isPresent() && config.nodes().containsKey(node.get().id());
     }
@@ -42,41 +46,41 @@
     @Override
     public Attempt send(
             long node,
-            NbdWork work,
-            Instant until,
-            BooleanSupplier wanted,
+            NodeCommand command,
+            Instant deadline,
+            BooleanSupplier isWanted,
             Consumer<NodeLink.AttemptResult> ended) {
-        if (work.onlyNode() != NbdWork.ANY_NODE && work.onlyNode() != node) {
+        if (command.requiredNode() != NodeCommand.ANY_NODE && command.requiredNode() != node) {
             ended.accept(
                     NodeLink.AttemptResult.withoutResponse(
-                            Status.MOOT)); // the node that wrote is not there any more
+                            Status.MOOT)); // the node with the writes to flush is gone
             return () -> {};
         }
-        return new Command(node, work, until, wanted, ended).start();
+        return new CommandExchange(node, command, deadline, isWanted, ended).start();
     }
 
     @Override
     public void probe(long node, Consumer<NodeLink.AttemptResult> ended) {
-        new Handshake(node, ended).start();
+        new ProbeExchange(node, ended).start();
     }
 
-    /** A connection's way to a node on this wire, ready for commands on one export. */
+    /** An exchange on a connection whose handshake opens one export. */
     private abstract class NbdExchange extends NodePool.Exchange {
         private final NbdConfig.Export export;
 
         NbdExchange(
                 long node,
                 NbdConfig.Export export,
-                Instant until,
-                BooleanSupplier wanted,
+                Instant deadline,
+                BooleanSupplier isWanted,
                 Consumer<NodeLink.AttemptResult> ended) {
-            pool.super(node, until, wanted, ended);
+            pool.super(node, deadline, isWanted, ended);
             this.export = export;
         }
 
         @Override
-        protected Optional<InetSocketAddress> address(NodeDirectory.ListedNode known) {
-            return Optional.ofNullable(config.nodes().get(known.id()));
+        protected Optional<InetSocketAddress> address(NodeDirectory.ListedNode listedNode) {
+            return Optional.ofNullable(config.nodes().get(listedNode.id()));
         }
 
         @Override
@@ -85,33 +89,33 @@
         }
 
         @Override
-        protected void prepare(Wire fresh, Runnable ready, Runnable unusable) {
-            fresh.listen(new ClientHandshake(fresh, export, ready, unusable));
+        protected void prepare(Wire connection, Runnable onReady, Runnable onFailure) {
+            connection.listen(new ClientHandshake(connection, export, onReady, onFailure));
         }
     }
 
-    private final class Command extends NbdExchange {
-        private final NbdWork work;
+    private final class CommandExchange extends NbdExchange {
+        private final NodeCommand command;
         private final ReplyParser parser;
         private final long cookie;
 
-        Command(
+        CommandExchange(
                 long node,
-                NbdWork work,
-                Instant until,
-                BooleanSupplier wanted,
+                NodeCommand command,
+                Instant deadline,
+                BooleanSupplier isWanted,
                 Consumer<NodeLink.AttemptResult> ended) {
-            super(node, work.export(), until, wanted, ended);
-            this.work = work;
+            super(node, command.export(), deadline, isWanted, ended);
+            this.command = command;
             synchronized (NbdNodeLink.this) {
                 cookie = ++lastCookie;
             }
-            parser = new ReplyParser(work, cookie);
+            parser = new ReplyParser(command, cookie);
         }
 
         @Override
         protected List<ByteBuffer> message(Duration left) {
-            return work.message(cookie);
+            return command.encode(cookie);
         }
 
         @Override
@@ -130,9 +134,12 @@
         }
     }
 
-    /** A sign of life: a whole handshake, after which the connection is left in the proper way. */
-    private final class Handshake extends NbdExchange {
-        Handshake(long node, Consumer<NodeLink.AttemptResult> ended) {
+    /**
+     * A probe: completes a handshake and ends the connection by {@code NBD_CMD_DISC}. The node
+     * answers it by closing the connection.
+     */
+    private final class ProbeExchange extends NbdExchange {
+        ProbeExchange(long node, Consumer<NodeLink.AttemptResult> ended) {
             super(
                     node,
                     config.exports().get(0),
@@ -143,24 +150,24 @@
 
         @Override
         protected String purpose() {
-            return PROBE;
+            return PROBE_PURPOSE;
         }
 
         @Override
         protected List<ByteBuffer> message(Duration left) {
-            return new NbdWork(
+            return new NodeCommand(
                             config.exports().get(0),
-                            Nbd.CMD_DISC,
+                            NbdProtocol.CMD_DISC,
                             0,
                             0,
                             new byte[0],
-                            NbdWork.ANY_NODE)
-                    .message(0);
+                            NodeCommand.ANY_NODE)
+                    .encode(0);
         }
 
         @Override
         protected Optional<Status> read(ByteBuffer in) throws IOException {
-            throw new IOException("a reply to DISC");
+            throw new IOException("unexpected reply to NBD_CMD_DISC");
         }
 
         @Override
--- a/src/main/java/cypressglade/nbd/ReplyParser.java
+++ b/src/main/java/cypressglade/nbd/ReplyParser.java
@@ -6,138 +6,154 @@
 import java.util.BitSet;
 import java.util.Optional;
 
-/** Reads a node's reply to one command, simple or in structured chunks, split at any byte. */
+/**
+ * Parses a node's reply to one command: a simple reply or the chunks of a structured reply. The
+ * reply may arrive split at any byte. Checks that the chunks of a read cover the whole range, do
+ * not overlap and lie inside it.
+ */
 final class ReplyParser {
-    private static final int MOST_MESSAGE = 4096;
+    private static final int MAX_ERROR_MESSAGE_BYTES = 4096;
 
-    private final NbdWork work;
+    private final NodeCommand command;
     private final long cookie;
     private final byte[] data;
-    private final BitSet covered;
-    private final Pieces pieces = new Pieces();
-    private boolean failed;
-    private boolean done;
+    private final BitSet receivedBytes;
+    private final SectionReader sections = new SectionReader();
+    private boolean hasFailed;
+    private boolean isComplete;
 
-    ReplyParser(NbdWork work, long cookie) {
-        this.work = work;
+    ReplyParser(NodeCommand command, long cookie) {
+        this.command = command;
         this.cookie = cookie;
-        data = new byte[work.type() == Nbd.CMD_READ ? work.length() : 0];
-        covered = new BitSet(data.length);
-        pieces.expect(4, this::magic);
+        data = new byte[command.type() == NbdProtocol.CMD_READ ? command.length() : 0];
+        receivedBytes = new BitSet(data.length);
+        sections.expect(4, this::handleMagic);
     }
 
-    /** Takes what came; how the command ended once its reply is whole. */
+    /**
+     * Consumes received bytes.
+     *
+     * @return the outcome of the command once its reply is complete
+     * @throws IOException if the bytes are not a valid reply to the command
+     */
     Optional<Status> feed(ByteBuffer in) throws IOException {
-        pieces.feed(in);
-        if (!done) {
+        sections.feed(in);
+        if (!isComplete) {
             return Optional.empty();
         }
-        if (!failed && covered.cardinality() != data.length) {
-            throw new IOException("the reply leaves out a part of what was read");
+        if (!hasFailed && receivedBytes.cardinality() != data.length) {
+            throw new IOException("the reply does not cover the whole range read");
         }
-        return Optional.of(failed ? Status.ERROR : Status.OK);
+        return Optional.of(hasFailed ? Status.ERROR : Status.OK);
     }
 
+    /** Returns the bytes read so far; empty for commands other than reads. */
     byte[] data() {
         return data;
     }
 
-    private void magic(ByteBuffer piece) throws IOException {
-        switch (piece.getInt()) {
-            case Nbd.SIMPLE_REPLY_MAGIC -> pieces.expect(Nbd.SIMPLE_REPLY_HEADER - 4, this::simple);
-            case Nbd.STRUCTURED_REPLY_MAGIC -> pieces.expect(Nbd.CHUNK_HEADER - 4, this::chunk);
-            default -> throw new IOException("not a reply");
+    private void handleMagic(ByteBuffer header) throws IOException {
+        switch (header.getInt()) {
+            case NbdProtocol.SIMPLE_REPLY_MAGIC ->
+                    sections.expect(
+                            NbdProtocol.SIMPLE_REPLY_HEADER_BYTES - 4, this::handleSimpleReply);
+            case NbdProtocol.STRUCTURED_REPLY_MAGIC ->
+                    sections.expect(NbdProtocol.CHUNK_HEADER_BYTES - 4, this::handleChunk);
+            default -> throw new IOException("not an NBD reply: unknown magic number");
         }
     }
 
-    private void simple(ByteBuffer piece) throws IOException {
-        failed = piece.getInt() != 0;
-        ours(piece.getLong());
-        if (failed || data.length == 0) {
-            done = true;
+    private void handleSimpleReply(ByteBuffer header) throws IOException {
+        hasFailed = header.getInt() != 0;
+        checkCookie(header.getLong());
+        if (hasFailed || data.length == 0) {
+            isComplete = true;
         } else {
-            pieces.expect(
+            sections.expect(
                     data.length,
                     body -> {
-                        put(0, body);
-                        done = true;
+                        store(0, body);
+                        isComplete = true;
                     });
         }
     }
 
-    private void chunk(ByteBuffer piece) throws IOException {
-        int flags = piece.getShort();
-        int type = Short.toUnsignedInt(piece.getShort());
-        ours(piece.getLong());
-        int length = piece.getInt();
-        int most =
-                type == Nbd.REPLY_OFFSET_DATA
+    private void handleChunk(ByteBuffer header) throws IOException {
+        int flags = header.getShort();
+        int type = Short.toUnsignedInt(header.getShort());
+        checkCookie(header.getLong());
+        int length = header.getInt();
+        int maxLength =
+                type == NbdProtocol.REPLY_OFFSET_DATA
                         ? 8 + data.length
-                        : type == Nbd.REPLY_OFFSET_HOLE
+                        : type == NbdProtocol.REPLY_OFFSET_HOLE
                                 ? 12
-                                : type == Nbd.REPLY_NONE ? 0 : 6 + MOST_MESSAGE + 8;
-        if (length < 0 || length > most) {
-            throw new IOException("a chunk of " + Integer.toUnsignedString(length) + " bytes");
+                                : type == NbdProtocol.REPLY_NONE
+                                        ? 0
+                                        : 6 + MAX_ERROR_MESSAGE_BYTES + 8;
+        if (length < 0 || length > maxLength) {
+            throw new IOException(
+                    "chunk of " + Integer.toUnsignedString(length) + " bytes is too long");
         }
-        pieces.expect(
+        sections.expect(
                 length,
                 body -> {
-                    content(type, body);
-                    done = (flags & Nbd.REPLY_FLAG_DONE) != 0;
-                    if (!done) {
-                        pieces.expect(4, this::magic);
+                    handleChunkPayload(type, body);
+                    isComplete = (flags & NbdProtocol.REPLY_FLAG_DONE) != 0;
+                    if (!isComplete) {
+                        sections.expect(4, this::handleMagic);
                     }
                 });
     }
 
-    private void content(int type, ByteBuffer body) throws IOException {
+    private void handleChunkPayload(int type, ByteBuffer body) throws IOException {
         switch (type) {
-            case Nbd.REPLY_NONE -> {}
-            case Nbd.REPLY_OFFSET_DATA -> {
-                need(body, 9);
-                put(body.getLong() - work.offset(), body);
+            case NbdProtocol.REPLY_NONE -> {}
+            case NbdProtocol.REPLY_OFFSET_DATA -> {
+                requireLength(body, 9);
+                store(body.getLong() - command.offset(), body);
             }
-            case Nbd.REPLY_OFFSET_HOLE -> {
-                need(body, 12);
-                long at = body.getLong() - work.offset();
+            case NbdProtocol.REPLY_OFFSET_HOLE -> {
+                requireLength(body, 12);
+                long at = body.getLong() - command.offset();
                 int length = body.getInt();
                 if (length <= 0 || length > data.length) {
-                    throw new IOException("a hole outside of what was read");
+                    throw new IOException("hole chunk outside of the range read");
                 }
-                put(at, ByteBuffer.allocate(length));
+                store(at, ByteBuffer.allocate(length));
             }
             default -> {
                 if ((type & 1 << 15) == 0) {
-                    throw new IOException("a chunk of the unknown type " + type);
+                    throw new IOException("unknown chunk type " + type);
                 }
-                failed = true;
+                hasFailed = true;
             }
         }
     }
 
-    private void put(long at, ByteBuffer part) throws IOException {
-        int length = part.remaining();
+    private void store(long at, ByteBuffer bytes) throws IOException {
+        int length = bytes.remaining();
         if (at < 0 || at > data.length - length) {
-            throw new IOException("a chunk outside of what was read");
+            throw new IOException("chunk outside of the range read");
         }
         int from = (int) at;
-        int covers = covered.nextSetBit(from);
-        if (covers >= 0 && covers < from + length) {
-            throw new IOException("a chunk over another");
+        int overlap = receivedBytes.nextSetBit(from);
+        if (overlap >= 0 && overlap < from + length) {
+            throw new IOException("chunk overlaps an earlier one");
         }
-        covered.set(from, from + length);
-        part.get(data, from, length);
+        receivedBytes.set(from, from + length);
+        bytes.get(data, from, length);
     }
 
-    private void ours(long answered) throws IOException {
-        if (answered != cookie) {
-            throw new IOException("a reply to another command");
+    private void checkCookie(long received) throws IOException {
+        if (received != cookie) {
+            throw new IOException("reply with the cookie of another command");
         }
     }
 
-    private static void need(ByteBuffer body, int bytes) throws IOException {
-        if (body.remaining() < bytes) {
-            throw new IOException("a chunk is too short");
+    private static void requireLength(ByteBuffer body, int minBytes) throws IOException {
+        if (body.remaining() < minBytes) {
+            throw new IOException("chunk is too short for its type");
         }
     }
 }
--- a/src/main/java/cypressglade/nbd/ServerHandshake.java
+++ b/src/main/java/cypressglade/nbd/ServerHandshake.java
@@ -8,220 +8,237 @@
 import java.util.Optional;
 import java.util.function.Predicate;
 
-/** A client's handshake: options until it asks for an export, in fixed newstyle. */
+/**
+ * The server side of a client's handshake in fixed newstyle: answers options until the client opens
+ * an export, then hands the connection over to the transmission phase. Runs on the I/O thread.
+ */
 final class ServerHandshake implements Wire.Listener {
-    private static final int MOST_SKIPPED = 1 << 20;
-    private static final int MOST_GO = 4 + Nbd.MOST_NAME + 2 + 2 * 1024;
-    private static final int PREFERRED_BLOCK = 4096;
-    private static final byte[] NOTHING = {};
+    // Longer options break the connection.
+    private static final int MAX_OPTION_BYTES = 1 << 20;
+    // Name length, name, number of information requests, and up to 1024 of those.
+    private static final int MAX_GO_BYTES = 4 + NbdProtocol.MAX_NAME_BYTES + 2 + 2 * 1024;
+    private static final int PREFERRED_BLOCK_BYTES = 4096;
+    private static final byte[] NO_DATA = {};
 
     private final Wire wire;
     private final NbdConfig config;
-    private final Predicate<Optional<Export>> drains;
-    private final Opened opened;
-    private final Runnable left;
-    private final Pieces pieces = new Pieces();
-    private boolean fixed;
-    private boolean noZeroes;
+    private final Predicate<Optional<Export>> isDraining;
+    private final TransmissionFactory transmissions;
+    private final Runnable onDisconnect;
+    private final SectionReader sections = new SectionReader();
+    private boolean fixedNewstyle;
+    private boolean omitsZeroes;
     private boolean structured;
-    private Wire.Listener next;
+    private Wire.Listener transmission;
 
-    /** What takes over once an export is chosen. */
-    interface Opened {
-        Wire.Listener open(Export export, boolean structured);
+    /** Creates the listener for the transmission phase on an export. */
+    interface TransmissionFactory {
+        Wire.Listener create(Export export, boolean structured);
     }
 
     /**
-     * {@code drains} tells whether this program (no export) or what holds the export is shutting
-     * down.
+     * Starts the handshake by sending the server's greeting.
+     *
+     * @param isDraining whether handshakes are rejected: for no export, because this program shuts
+     *     down; for an export, also because a shard that holds it is draining
+     * @param transmissions creates the listener that follows the handshake
+     * @param onDisconnect runs if the connection ends during the handshake
      */
     ServerHandshake(
             Wire wire,
             NbdConfig config,
-            Predicate<Optional<Export>> drains,
-            Opened opened,
-            Runnable left) {
+            Predicate<Optional<Export>> isDraining,
+            TransmissionFactory transmissions,
+            Runnable onDisconnect) {
         this.wire = wire;
         this.config = config;
-        this.drains = drains;
-        this.opened = opened;
-        this.left = left;
-        pieces.expect(4, this::clientFlags);
+        this.isDraining = isDraining;
+        this.transmissions = transmissions;
+        this.onDisconnect = onDisconnect;
+        sections.expect(4, this::handleClientFlags);
         wire.listen(this);
         wire.send(
-                ByteBuffer.allocate(18)
-                        .putLong(Nbd.NBDMAGIC)
-                        .putLong(Nbd.IHAVEOPT)
-                        .putShort((short) (Nbd.FLAG_FIXED_NEWSTYLE | Nbd.FLAG_NO_ZEROES))
+                ByteBuffer.allocate(NbdProtocol.GREETING_BYTES)
+                        .putLong(NbdProtocol.NBDMAGIC)
+                        .putLong(NbdProtocol.IHAVEOPT)
+                        .putShort(
+                                (short)
+                                        (NbdProtocol.FLAG_FIXED_NEWSTYLE
+                                                | NbdProtocol.FLAG_NO_ZEROES))
                         .flip());
     }
 
-    boolean over() {
-        return next != null;
+    boolean isComplete() {
+        return transmission != null;
     }
 
     @Override
     public void received(ByteBuffer in) throws IOException {
-        pieces.feed(in);
-        if (next != null) {
-            wire.listen(next);
-            next.received(in);
+        sections.feed(in);
+        if (transmission != null) {
+            wire.listen(transmission);
+            transmission.received(in);
         }
     }
 
     @Override
     public void ended() {
-        left.run(); // nothing was taken on the wire
+        onDisconnect.run(); // no command was received yet
     }
 
-    private void clientFlags(ByteBuffer piece) throws IOException {
-        int flags = piece.getInt();
-        if ((flags & ~(Nbd.FLAG_FIXED_NEWSTYLE | Nbd.FLAG_NO_ZEROES)) != 0) {
-            throw new IOException("unknown client flags");
+    private void handleClientFlags(ByteBuffer section) throws IOException {
+        int flags = section.getInt();
+        if ((flags & ~(NbdProtocol.FLAG_FIXED_NEWSTYLE | NbdProtocol.FLAG_NO_ZEROES)) != 0) {
+            throw new IOException("unknown client flags in the handshake");
         }
-        fixed = (flags & Nbd.FLAG_FIXED_NEWSTYLE) != 0;
-        noZeroes = (flags & Nbd.FLAG_NO_ZEROES) != 0;
-        pieces.expect(Nbd.OPTION_HEADER, this::option);
+        fixedNewstyle = (flags & NbdProtocol.FLAG_FIXED_NEWSTYLE) != 0;
+        omitsZeroes = (flags & NbdProtocol.FLAG_NO_ZEROES) != 0;
+        sections.expect(NbdProtocol.OPTION_HEADER_BYTES, this::handleOption);
     }
 
-    private void option(ByteBuffer piece) throws IOException {
-        if (piece.getLong() != Nbd.IHAVEOPT) {
-            throw new IOException("not an option");
+    private void handleOption(ByteBuffer section) throws IOException {
+        if (section.getLong() != NbdProtocol.IHAVEOPT) {
+            throw new IOException("not an option: wrong magic number");
         }
-        int option = piece.getInt();
-        long length = Integer.toUnsignedLong(piece.getInt());
-        if (length > MOST_SKIPPED || !fixed && option != Nbd.OPT_EXPORT_NAME) {
-            throw new IOException("an option that cannot be answered");
+        int option = section.getInt();
+        long length = Integer.toUnsignedLong(section.getInt());
+        if (length > MAX_OPTION_BYTES || !fixedNewstyle && option != NbdProtocol.OPT_EXPORT_NAME) {
+            throw new IOException("option is too long, or not allowed without fixed newstyle");
         }
-        pieces.expect(Nbd.OPTION_HEADER, this::option);
+        sections.expect(NbdProtocol.OPTION_HEADER_BYTES, this::handleOption);
         switch (option) {
-            case Nbd.OPT_EXPORT_NAME -> {
-                if (length > Nbd.MOST_NAME) {
-                    throw new IOException("an export name of " + length + " bytes");
+            case NbdProtocol.OPT_EXPORT_NAME -> {
+                if (length > NbdProtocol.MAX_NAME_BYTES) {
+                    throw new IOException("export name of " + length + " bytes is too long");
                 }
-                pieces.expect((int) length, this::exportName);
+                sections.expect((int) length, this::handleExportName);
             }
-            case Nbd.OPT_INFO, Nbd.OPT_GO -> {
-                if (length > MOST_GO) {
-                    refuse(option, length, Nbd.REP_ERR_TOO_BIG);
+            case NbdProtocol.OPT_INFO, NbdProtocol.OPT_GO -> {
+                if (length > MAX_GO_BYTES) {
+                    rejectOption(option, length, NbdProtocol.REP_ERR_TOO_BIG);
                 } else {
-                    pieces.expect((int) length, data -> infoOrGo(option, data));
+                    sections.expect((int) length, data -> handleInfoOrGo(option, data));
                 }
             }
-            case Nbd.OPT_ABORT -> {
-                reply(option, Nbd.REP_ACK, NOTHING);
-                pieces.hold();
-                left.run();
+            case NbdProtocol.OPT_ABORT -> {
+                sendReply(option, NbdProtocol.REP_ACK, NO_DATA);
+                sections.pause();
+                onDisconnect.run();
                 wire.closeWhenSent();
             }
-            case Nbd.OPT_LIST, Nbd.OPT_STRUCTURED_REPLY -> {
+            case NbdProtocol.OPT_LIST, NbdProtocol.OPT_STRUCTURED_REPLY -> {
                 if (length > 0) {
-                    refuse(option, length, Nbd.REP_ERR_INVALID);
-                } else if (drains.test(Optional.empty())) {
-                    reply(option, Nbd.REP_ERR_SHUTDOWN, NOTHING);
-                } else if (option == Nbd.OPT_STRUCTURED_REPLY) {
+                    rejectOption(option, length, NbdProtocol.REP_ERR_INVALID);
+                } else if (isDraining.test(Optional.empty())) {
+                    sendReply(option, NbdProtocol.REP_ERR_SHUTDOWN, NO_DATA);
+                } else if (option == NbdProtocol.OPT_STRUCTURED_REPLY) {
                     structured = true;
-                    reply(option, Nbd.REP_ACK, NOTHING);
+                    sendReply(option, NbdProtocol.REP_ACK, NO_DATA);
                 } else {
-                    list();
+                    sendExportList();
                 }
             }
-            default -> refuse(option, length, Nbd.REP_ERR_UNSUP);
+            default -> rejectOption(option, length, NbdProtocol.REP_ERR_UNSUP);
         }
     }
 
-    private void refuse(int option, long length, int error) {
-        pieces.skip(length);
-        reply(option, error, NOTHING);
+    private void rejectOption(int option, long length, int error) {
+        sections.skip(length);
+        sendReply(option, error, NO_DATA);
     }
 
-    private void list() {
+    private void sendExportList() {
         for (Export export : config.exports()) {
             byte[] name = export.name().getBytes(StandardCharsets.UTF_8);
-            reply(
-                    Nbd.OPT_LIST,
-                    Nbd.REP_SERVER,
+            sendReply(
+                    NbdProtocol.OPT_LIST,
+                    NbdProtocol.REP_SERVER,
                     ByteBuffer.allocate(4 + name.length).putInt(name.length).put(name).array());
         }
-        reply(Nbd.OPT_LIST, Nbd.REP_ACK, NOTHING);
+        sendReply(NbdProtocol.OPT_LIST, NbdProtocol.REP_ACK, NO_DATA);
     }
 
-    private void infoOrGo(int option, ByteBuffer data) {
-        pieces.expect(Nbd.OPTION_HEADER, this::option);
+    private void handleInfoOrGo(int option, ByteBuffer data) {
+        sections.expect(NbdProtocol.OPTION_HEADER_BYTES, this::handleOption);
         int nameLength = data.remaining() < 6 ? -1 : data.getInt();
         if (nameLength < 0 || nameLength > data.remaining() - 2) {
-            reply(option, Nbd.REP_ERR_INVALID, NOTHING);
+            sendReply(option, NbdProtocol.REP_ERR_INVALID, NO_DATA);
             return;
         }
-        String name = text(data, nameLength);
-        int wishes = Short.toUnsignedInt(data.getShort());
-        if (data.remaining() != 2 * wishes) {
-            reply(option, Nbd.REP_ERR_INVALID, NOTHING);
+        String name = readText(data, nameLength);
+        int informationRequests = Short.toUnsignedInt(data.getShort());
+        if (data.remaining() != 2 * informationRequests) {
+            sendReply(option, NbdProtocol.REP_ERR_INVALID, NO_DATA);
             return;
         }
-        Optional<Export> export = config.export(name);
-        if (drains.test(Optional.empty()) || export.isPresent() && drains.test(export)) {
-            reply(option, Nbd.REP_ERR_SHUTDOWN, NOTHING);
+        Optional<Export> export = config.findExport(name);
+        if (isDraining.test(Optional.empty()) || export.isPresent() && isDraining.test(export)) {
+            sendReply(option, NbdProtocol.REP_ERR_SHUTDOWN, NO_DATA);
         } else if (export.isEmpty()) {
-            reply(option, Nbd.REP_ERR_UNKNOWN, NOTHING);
+            sendReply(option, NbdProtocol.REP_ERR_UNKNOWN, NO_DATA);
         } else {
-            reply(
+            sendReply(
                     option,
-                    Nbd.REP_INFO,
+                    NbdProtocol.REP_INFO,
                     ByteBuffer.allocate(12)
-                            .putShort((short) Nbd.INFO_EXPORT)
+                            .putShort((short) NbdProtocol.INFO_EXPORT)
                             .putLong(export.get().size())
                             .putShort(transmissionFlags())
                             .array());
-            reply(
+            sendReply(
                     option,
-                    Nbd.REP_INFO,
+                    NbdProtocol.REP_INFO,
                     ByteBuffer.allocate(14)
-                            .putShort((short) Nbd.INFO_BLOCK_SIZE)
+                            .putShort((short) NbdProtocol.INFO_BLOCK_SIZE)
                             .putInt(1)
-                            .putInt(PREFERRED_BLOCK)
-                            .putInt(Transmission.MOST_LENGTH)
+                            .putInt(PREFERRED_BLOCK_BYTES)
+                            .putInt(Transmission.MAX_LENGTH_BYTES)
                             .array());
-            reply(option, Nbd.REP_ACK, NOTHING);
-            if (option == Nbd.OPT_GO) {
-                open(export.get());
+            sendReply(option, NbdProtocol.REP_ACK, NO_DATA);
+            if (option == NbdProtocol.OPT_GO) {
+                startTransmission(export.get());
             }
         }
     }
 
-    private void exportName(ByteBuffer data) throws IOException {
-        Optional<Export> export = config.export(text(data, data.remaining()));
-        if (export.isEmpty() || drains.test(Optional.empty()) || drains.test(export)) {
-            throw new IOException("no such export now"); // this option has no other way to say so
+    private void handleExportName(ByteBuffer data) throws IOException {
+        Optional<Export> export = config.findExport(readText(data, data.remaining()));
+        if (export.isEmpty() || isDraining.test(Optional.empty()) || isDraining.test(export)) {
+            throw new IOException(
+                    "export is unknown or draining"); // this option has no error reply
         }
         wire.send(
-                ByteBuffer.allocate(10 + (noZeroes ? 0 : Nbd.EXPORT_NAME_ZEROES))
+                ByteBuffer.allocate(
+                                NbdProtocol.EXPORT_NAME_REPLY_BYTES
+                                        + (omitsZeroes ? 0 : NbdProtocol.EXPORT_NAME_PADDING_BYTES))
                         .putLong(export.get().size())
                         .putShort(transmissionFlags())
                         .rewind());
-        open(export.get());
+        startTransmission(export.get());
     }
 
-    private void open(Export export) {
-        pieces.hold();
-        next = opened.open(export, structured);
+    private void startTransmission(Export export) {
+        sections.pause();
+        transmission = transmissions.create(export, structured);
     }
 
     private short transmissionFlags() {
         return (short)
-                (Nbd.FLAG_HAS_FLAGS | Nbd.FLAG_SEND_FLUSH | (structured ? Nbd.FLAG_SEND_DF : 0));
+                (NbdProtocol.FLAG_HAS_FLAGS
+                        | NbdProtocol.FLAG_SEND_FLUSH
+                        | (structured ? NbdProtocol.FLAG_SEND_DF : 0));
     }
 
-    private static String text(ByteBuffer data, int length) {
+    private static String readText(ByteBuffer data, int length) {
         byte[] bytes = new byte[length];
         data.get(bytes);
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    private void reply(int option, int type, byte[] data) {
+    private void sendReply(int option, int type, byte[] data) {
         wire.send(
-                ByteBuffer.allocate(Nbd.OPTION_REPLY_HEADER + data.length)
-                        .putLong(Nbd.OPTION_REPLY_MAGIC)
+                ByteBuffer.allocate(NbdProtocol.OPTION_REPLY_HEADER_BYTES + data.length)
+                        .putLong(NbdProtocol.OPTION_REPLY_MAGIC)
                         .putInt(option)
                         .putInt(type)
                         .putInt(data.length)
--- a/src/main/java/cypressglade/nbd/Transmission.java
+++ b/src/main/java/cypressglade/nbd/Transmission.java
@@ -21,140 +21,150 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** The commands of one client on one export, each answered once. Runs on the I/O thread. */
+/**
+ * The transmission phase of one client on one export; each command gets exactly one reply. Runs on
+ * the I/O thread.
+ */
 final class Transmission implements Wire.Listener {
     /**
-     * The longest read or write; larger ones are turned down and what they carry is passed over.
+     * Longest read or write. Longer ones are rejected with an error, and the data of a longer write
+     * is skipped.
      */
-    static final int MOST_LENGTH = 128 * 1024;
+    static final int MAX_LENGTH_BYTES = 128 * 1024;
 
-    private static final long MOST_SKIPPED = 64L << 20;
-    private static final int MOST_OPEN = 4;
-    private static final int MOST_UNSENT = 2 * MOST_LENGTH;
-    private static final int BLOCK = 4096;
-    private static final long KEY_STEP = 0x9e3779b97f4a7c15L; // spreads block numbers over the keys
-    // For the reply to get back in time.
-    private static final Duration MARGIN = Duration.ofMillis(20);
+    // A write with more data to skip breaks the connection.
+    private static final long MAX_SKIPPED_BYTES = 64L << 20;
+    private static final int MAX_PENDING_COMMANDS = 4;
+    private static final int MAX_UNSENT_BYTES = 2 * MAX_LENGTH_BYTES;
+    private static final int BLOCK_BYTES = 4096;
+    private static final long KEY_MULTIPLIER = 0x9e3779b97f4a7c15L; // spreads block numbers
+    // Commands expire this much early, so that the reply reaches the client by the deadline.
+    private static final Duration REPLY_MARGIN = Duration.ofMillis(20);
 
-    private final NbdListener front;
+    private final NbdListener listener;
     private final Wire wire;
     private final Export export;
     private final boolean structured;
-    private final Pieces pieces = new Pieces();
-    private final Set<RequestTask<NbdWork>> lives = new HashSet<>();
-    private final Set<Reached> written = new HashSet<>();
-    private ByteBuffer stash = ByteBuffer.allocate(0);
-    private int open;
-    private boolean over;
+    private final SectionReader sections = new SectionReader();
+    private final Set<RequestTask<NodeCommand>> tasks = new HashSet<>();
+    private final Set<WrittenNode> writtenNodes = new HashSet<>();
+    private ByteBuffer unread = ByteBuffer.allocate(0);
+    private int pendingCommands;
+    private boolean isClosing;
 
-    /** A node that a write of this client may have reached. */
-    private record Reached(int shard, long node) {}
+    /** A node that may have received a write of this client. */
+    private record WrittenNode(int shard, long node) {}
 
-    Transmission(NbdListener front, Wire wire, Export export, boolean structured) {
-        this.front = front;
+    Transmission(NbdListener listener, Wire wire, Export export, boolean structured) {
+        this.listener = listener;
         this.wire = wire;
         this.export = export;
         this.structured = structured;
-        pieces.expect(Nbd.REQUEST_HEADER, this::header);
+        sections.expect(NbdProtocol.REQUEST_HEADER_BYTES, this::handleRequest);
     }
 
     @Override
     public void received(ByteBuffer in) throws IOException {
-        pieces.feed(in);
-        if (pieces.isHeld() && !over) {
+        sections.feed(in);
+        if (sections.isPaused() && !isClosing) {
             wire.pause();
-            stash = ByteBuffer.allocate(in.remaining()).put(in).flip();
+            unread = ByteBuffer.allocate(in.remaining()).put(in).flip();
         }
     }
 
     @Override
     public void ended() {
-        over = true;
-        lives.forEach(RequestTask::clientDisconnected);
-        front.left(wire);
+        isClosing = true;
+        tasks.forEach(RequestTask::clientDisconnected);
+        listener.removeClient(wire);
     }
 
     @Override
     public void sent() {
-        goOn();
+        readFurtherCommands();
     }
 
-    /** Takes further commands, unless too many are open or the client does not read its replies. */
-    private void goOn() {
-        if (over || !pieces.isHeld() || open >= MOST_OPEN || wire.unsent() > MOST_UNSENT) {
+    /**
+     * Reads further commands, unless too many are pending or the client does not read its replies.
+     */
+    private void readFurtherCommands() {
+        if (isClosing
+                || !sections.isPaused()
+                || pendingCommands >= MAX_PENDING_COMMANDS
+                || wire.unsent() > MAX_UNSENT_BYTES) {
             return;
         }
-        pieces.release();
-        ByteBuffer kept = stash;
-        stash = ByteBuffer.allocate(0);
+        sections.resume();
+        ByteBuffer buffered = unread;
+        unread = ByteBuffer.allocate(0);
         try {
-            received(kept);
-            if (!pieces.isHeld() && !over) {
+            received(buffered);
+            if (!sections.isPaused() && !isClosing) {
                 wire.listen(this);
             }
-        } catch (IOException broken) {
+        } catch (IOException invalid) {
             ended();
             wire.close();
         }
     }
 
-    private void header(ByteBuffer piece) throws IOException {
-        if (piece.getInt() != Nbd.REQUEST_MAGIC) {
-            throw new IOException("not a request");
+    private void handleRequest(ByteBuffer section) throws IOException {
+        if (section.getInt() != NbdProtocol.REQUEST_MAGIC) {
+            throw new IOException("not an NBD request: wrong magic number");
         }
-        int flags = Short.toUnsignedInt(piece.getShort());
-        int type = Short.toUnsignedInt(piece.getShort());
-        Command command = new Command(type, piece.getLong(), piece.getLong(), piece.getInt());
-        pieces.expect(Nbd.REQUEST_HEADER, this::header);
-        if (type == Nbd.CMD_DISC) {
-            over = true;
-            pieces.hold();
-            if (open == 0) {
-                leave();
+        int flags = Short.toUnsignedInt(section.getShort());
+        int type = Short.toUnsignedInt(section.getShort());
+        Command command = new Command(type, section.getLong(), section.getLong(), section.getInt());
+        sections.expect(NbdProtocol.REQUEST_HEADER_BYTES, this::handleRequest);
+        if (type == NbdProtocol.CMD_DISC) {
+            isClosing = true;
+            sections.pause();
+            if (pendingCommands == 0) {
+                disconnect();
             }
             return;
         }
-        open++;
-        int error = command.check(flags);
-        if (type == Nbd.CMD_WRITE && error != 0) {
+        pendingCommands++;
+        int error = command.validate(flags);
+        if (type == NbdProtocol.CMD_WRITE && error != 0) {
             long carried = Integer.toUnsignedLong(command.length);
-            if (carried > MOST_SKIPPED) {
-                throw new IOException("a write of " + carried + " bytes");
+            if (carried > MAX_SKIPPED_BYTES) {
+                throw new IOException("write of " + carried + " bytes is too long to skip");
             }
-            pieces.skip(carried);
+            sections.skip(carried);
         }
         if (error != 0) {
-            command.reply(error);
-        } else if (type == Nbd.CMD_WRITE) {
-            pieces.expect(
+            command.sendReply(error);
+        } else if (type == NbdProtocol.CMD_WRITE) {
+            sections.expect(
                     command.length,
                     data -> {
-                        pieces.expect(Nbd.REQUEST_HEADER, this::header);
+                        sections.expect(NbdProtocol.REQUEST_HEADER_BYTES, this::handleRequest);
                         command.data = data.array();
-                        command.begin();
-                        holdIfFull();
+                        command.start();
+                        pauseIfFull();
                     });
             return;
         } else {
-            command.begin();
+            command.start();
         }
-        holdIfFull();
+        pauseIfFull();
     }
 
-    private void holdIfFull() {
-        if (open >= MOST_OPEN || wire.unsent() > MOST_UNSENT) {
-            pieces.hold();
+    private void pauseIfFull() {
+        if (pendingCommands >= MAX_PENDING_COMMANDS || wire.unsent() > MAX_UNSENT_BYTES) {
+            sections.pause();
         }
     }
 
-    private void leave() {
-        front.left(wire);
+    private void disconnect() {
+        listener.removeClient(wire);
         wire.closeWhenSent();
     }
 
     /**
-     * One command of the client; it is split where it crosses shards or is larger than a request
-     * may be.
+     * A command of the client, split into several requests where it crosses shards or exceeds the
+     * size of a request.
      */
     private final class Command {
         private final int type;
@@ -164,7 +174,7 @@
         private final Instant expiry;
         private final int requestClass;
         private byte[] data = {};
-        private int left;
+        private int pendingParts;
         private int error;
 
         Command(int type, long cookie, long offset, int length) {
@@ -172,150 +182,159 @@
             this.cookie = cookie;
             this.offset = offset;
             this.length = length;
-            Settings settings = front.settings();
+            Settings settings = listener.settings();
             requestClass =
-                    type == Nbd.CMD_READ ? front.config().readClass() : front.config().writeClass();
+                    type == NbdProtocol.CMD_READ
+                            ? listener.config().readClass()
+                            : listener.config().writeClass();
             expiry =
                     MonotonicClock.now()
                             .plus(
                                     Micros.toDuration(
                                             settings.classes().get(requestClass).deadlineUs()))
-                            .minus(MARGIN);
+                            .minus(REPLY_MARGIN);
         }
 
-        /** What is wrong with it, or 0. */
-        int check(int flags) {
-            boolean read = type == Nbd.CMD_READ;
-            boolean write = type == Nbd.CMD_WRITE;
-            if (!read && !write && type != Nbd.CMD_FLUSH) {
-                return Nbd.ENOTSUP;
+        /** Returns the error to reply with, or 0 if the command is valid. */
+        int validate(int flags) {
+            boolean read = type == NbdProtocol.CMD_READ;
+            boolean write = type == NbdProtocol.CMD_WRITE;
+            if (!read && !write && type != NbdProtocol.CMD_FLUSH) {
+                return NbdProtocol.ENOTSUP;
             }
-            if ((flags & ~(read && structured ? Nbd.CMD_FLAG_DF : 0)) != 0) {
-                return Nbd.EINVAL;
+            if ((flags & ~(read && structured ? NbdProtocol.CMD_FLAG_DF : 0)) != 0) {
+                return NbdProtocol.EINVAL;
             }
             if (!read && !write) {
-                return front.refusesCommands()
-                        ? Nbd.ESHUTDOWN
-                        : offset != 0 || length != 0 ? Nbd.EINVAL : 0;
+                return listener.refusesCommands()
+                        ? NbdProtocol.ESHUTDOWN
+                        : offset != 0 || length != 0 ? NbdProtocol.EINVAL : 0;
             }
-            if (length == 0 || Integer.toUnsignedLong(length) > MOST_LENGTH) {
-                return Nbd.EINVAL;
+            if (length == 0 || Integer.toUnsignedLong(length) > MAX_LENGTH_BYTES) {
+                return NbdProtocol.EINVAL;
             }
             if (offset < 0 || offset > export.size() || length > export.size() - offset) {
-                return write ? Nbd.ENOSPC : Nbd.EINVAL;
+                return write ? NbdProtocol.ENOSPC : NbdProtocol.EINVAL;
             }
-            return front.refusesCommands() ? Nbd.ESHUTDOWN : 0;
+            return listener.refusesCommands() ? NbdProtocol.ESHUTDOWN : 0;
         }
 
-        void begin() {
+        void start() {
             List<Runnable> parts = new ArrayList<>();
-            if (type == Nbd.CMD_FLUSH) {
-                for (Reached reached : written) {
+            if (type == NbdProtocol.CMD_FLUSH) {
+                for (WrittenNode writtenNode : writtenNodes) {
                     parts.add(
                             () ->
-                                    part(
-                                            reached.shard(),
+                                    startPart(
+                                            writtenNode.shard(),
                                             0,
                                             0,
-                                            NbdWork.flush(export, reached.node())));
+                                            NodeCommand.flush(export, writtenNode.node())));
                 }
             } else {
-                data = type == Nbd.CMD_READ ? new byte[length] : data;
-                int at = 0;
-                while (at < length) {
-                    long from = offset + at;
-                    NbdConfig.Extent extent = export.at(from);
+                data = type == NbdProtocol.CMD_READ ? new byte[length] : data;
+                int position = 0;
+                while (position < length) {
+                    long from = offset + position;
+                    NbdConfig.Extent extent = export.extentAt(from);
                     int size =
                             (int)
                                     Math.min(
-                                            Math.min(length - at, extent.end() - from),
-                                            front.mostBytes());
-                    int start = at;
-                    NbdWork work =
-                            type == Nbd.CMD_READ
-                                    ? NbdWork.read(export, from, size)
-                                    : NbdWork.write(
-                                            export, from, Arrays.copyOfRange(data, at, at + size));
-                    parts.add(() -> part(extent.shard(), start, size, work));
-                    at += size;
+                                            Math.min(length - position, extent.end() - from),
+                                            listener.maxRequestBytes());
+                    int partOffset = position;
+                    NodeCommand nodeCommand =
+                            type == NbdProtocol.CMD_READ
+                                    ? NodeCommand.read(export, from, size)
+                                    : NodeCommand.write(
+                                            export,
+                                            from,
+                                            Arrays.copyOfRange(data, position, position + size));
+                    parts.add(() -> startPart(extent.shard(), partOffset, size, nodeCommand));
+                    position += size;
                 }
             }
-            left = parts.size();
+            pendingParts = parts.size();
             parts.forEach(Runnable::run);
             if (parts.isEmpty()) {
-                reply(0);
+                sendReply(0);
             }
         }
 
-        /** Hands one part to the core, as a request like any other. */
-        private void part(int shard, int at, int size, NbdWork work) {
+        /** Submits one part of the command to the core as a request. */
+        private void startPart(int shard, int dataOffset, int size, NodeCommand nodeCommand) {
             float units =
-                    Math.max(1, (float) Math.ceil((double) size / front.config().unitBytes()));
-            long key = size == 0 ? 0 : export.volume() ^ (work.offset() / BLOCK + 1) * KEY_STEP;
+                    Math.max(1, (float) Math.ceil((double) size / listener.config().unitBytes()));
+            long key =
+                    size == 0
+                            ? 0
+                            : export.volume()
+                                    ^ (nodeCommand.offset() / BLOCK_BYTES + 1) * KEY_MULTIPLIER;
             IoRequest request =
                     new IoRequest(
                             shard,
                             requestClass,
                             export.plan(),
-                            front.config().hosts(),
+                            listener.config().instances(),
                             false,
-                            type != Nbd.CMD_READ,
+                            type != NbdProtocol.CMD_READ,
                             export.volume(),
                             key,
                             units,
                             expiry);
-            Part part = new Part(this, shard, at, work);
-            part.life = front.life(request, work, part, new Recorder(shard));
-            lives.add(part.life);
-            if (!front.start(part.life)) {
-                part.ended(Nbd.EIO);
+            Part part = new Part(this, shard, dataOffset, nodeCommand);
+            part.task = listener.createTask(request, nodeCommand, part, new WriteRecorder(shard));
+            tasks.add(part.task);
+            if (!listener.start(part.task)) {
+                part.complete(NbdProtocol.EIO);
             }
         }
 
-        void partEnded(int partError) {
-            if (partError != 0 && error != Nbd.EIO) {
+        void completePart(int partError) {
+            if (partError != 0 && error != NbdProtocol.EIO) {
                 error = partError;
             }
-            if (--left == 0) {
-                reply(error);
+            if (--pendingParts == 0) {
+                sendReply(error);
             }
         }
 
-        void reply(int answer) {
-            open--;
-            boolean read = type == Nbd.CMD_READ;
-            byte[] body = read && answer == 0 ? data : new byte[0];
+        void sendReply(int errorValue) {
+            pendingCommands--;
+            boolean read = type == NbdProtocol.CMD_READ;
+            byte[] body = read && errorValue == 0 ? data : new byte[0];
             wire.send(
                     structured
-                            ? chunk(answer, body)
-                            : ByteBuffer.allocate(Nbd.SIMPLE_REPLY_HEADER + body.length)
-                                    .putInt(Nbd.SIMPLE_REPLY_MAGIC)
-                                    .putInt(answer)
+                            ? encodeChunk(errorValue, body)
+                            : ByteBuffer.allocate(
+                                            NbdProtocol.SIMPLE_REPLY_HEADER_BYTES + body.length)
+                                    .putInt(NbdProtocol.SIMPLE_REPLY_MAGIC)
+                                    .putInt(errorValue)
                                     .putLong(cookie)
                                     .put(body)
                                     .flip());
-            if (over && open == 0) {
-                leave();
+            if (isClosing && pendingCommands == 0) {
+                disconnect();
             } else {
-                goOn();
+                readFurtherCommands();
             }
         }
 
-        private ByteBuffer chunk(int answer, byte[] body) {
+        private ByteBuffer encodeChunk(int errorValue, byte[] body) {
             ByteBuffer content = ByteBuffer.allocate(8 + body.length);
-            int kind = Nbd.REPLY_NONE;
-            if (answer != 0) {
-                kind = Nbd.REPLY_ERROR;
-                content.putInt(answer).putShort((short) 0);
+            int chunkType = NbdProtocol.REPLY_NONE;
+            if (errorValue != 0) {
+                chunkType = NbdProtocol.REPLY_ERROR;
+                content.putInt(errorValue).putShort((short) 0);
             } else if (body.length > 0) {
-                kind = Nbd.REPLY_OFFSET_DATA;
+                chunkType = NbdProtocol.REPLY_OFFSET_DATA;
                 content.putLong(offset).put(body);
             }
             content.flip();
-            return ByteBuffer.allocate(Nbd.CHUNK_HEADER + content.remaining())
-                    .putInt(Nbd.STRUCTURED_REPLY_MAGIC)
-                    .putShort((short) Nbd.REPLY_FLAG_DONE)
-                    .putShort((short) kind)
+            return ByteBuffer.allocate(NbdProtocol.CHUNK_HEADER_BYTES + content.remaining())
+                    .putInt(NbdProtocol.STRUCTURED_REPLY_MAGIC)
+                    .putShort((short) NbdProtocol.REPLY_FLAG_DONE)
+                    .putShort((short) chunkType)
                     .putLong(cookie)
                     .putInt(content.remaining())
                     .put(content)
@@ -323,85 +342,91 @@
         }
     }
 
-    /** The caller of one part. */
+    /** Receives the answer to one part of a command. */
     private final class Part implements Responder {
         private final Command command;
         private final int shard;
-        private final int at;
-        private final NbdWork work;
-        private RequestTask<NbdWork> life;
+        private final int dataOffset;
+        private final NodeCommand nodeCommand;
+        private RequestTask<NodeCommand> task;
 
-        Part(Command command, int shard, int at, NbdWork work) {
+        Part(Command command, int shard, int dataOffset, NodeCommand nodeCommand) {
             this.command = command;
             this.shard = shard;
-            this.at = at;
-            this.work = work;
+            this.dataOffset = dataOffset;
+            this.nodeCommand = nodeCommand;
         }
 
         @Override
         public void serve(byte[] answer) {
-            front.execute(
+            listener.execute(
                     () -> {
-                        System.arraycopy(answer, 0, command.data, at, answer.length);
-                        ended(0);
+                        System.arraycopy(answer, 0, command.data, dataOffset, answer.length);
+                        complete(0);
                     });
         }
 
         @Override
         public void refuse(Duration retryAfter) {
-            front.execute(() -> ended(front.drains(shard) ? Nbd.ESHUTDOWN : Nbd.EIO));
+            listener.execute(
+                    () ->
+                            complete(
+                                    listener.isDraining(shard)
+                                            ? NbdProtocol.ESHUTDOWN
+                                            : NbdProtocol.EIO));
         }
 
         @Override
         public void fail() {
-            front.execute(() -> ended(Nbd.EIO));
+            listener.execute(() -> complete(NbdProtocol.EIO));
         }
 
-        private void ended(int error) {
-            lives.remove(life);
-            if (error != 0 && work.type() == Nbd.CMD_FLUSH) {
-                // What that node wrote is now told as not lasting; a later flush speaks of later
-                // writes.
-                written.remove(new Reached(shard, work.onlyNode()));
+        private void complete(int error) {
+            tasks.remove(task);
+            if (error != 0 && nodeCommand.type() == NbdProtocol.CMD_FLUSH) {
+                // The client now knows that this node's writes may not be persistent; a later flush
+                // covers only later writes.
+                writtenNodes.remove(new WrittenNode(shard, nodeCommand.requiredNode()));
             }
-            command.partEnded(error);
+            command.completePart(error);
         }
     }
 
-    /** Notes which nodes the writes may have reached, for the flush that follows them. */
-    private final class Recorder implements NodeLink<NbdWork> {
+    /** Records which nodes may have received writes, so that a later flush reaches them. */
+    private final class WriteRecorder implements NodeLink<NodeCommand> {
         private final int shard;
 
-        Recorder(int shard) {
+        WriteRecorder(int shard) {
             this.shard = shard;
         }
 
         @Override
         public Attempt send(
                 long node,
-                NbdWork work,
-                Instant until,
-                BooleanSupplier wanted,
+                NodeCommand nodeCommand,
+                Instant deadline,
+                BooleanSupplier isWanted,
                 Consumer<NodeLink.AttemptResult> ended) {
-            return front.link()
+            return listener.link()
                     .send(
                             node,
-                            work,
-                            until,
-                            wanted,
-                            ending -> {
-                                if (work.type() == Nbd.CMD_WRITE && ending.status().mayHaveRun) {
-                                    written.add(
-                                            new Reached(
-                                                    shard, node)); // ends come on the I/O thread
+                            nodeCommand,
+                            deadline,
+                            isWanted,
+                            result -> {
+                                if (nodeCommand.type() == NbdProtocol.CMD_WRITE
+                                        && result.status().mayHaveRun) {
+                                    writtenNodes.add(
+                                            new WrittenNode(
+                                                    shard, node)); // attempts end on the I/O thread
                                 }
-                                ended.accept(ending);
+                                ended.accept(result);
                             });
         }
 
         @Override
         public void probe(long node, Consumer<NodeLink.AttemptResult> ended) {
-            front.link().probe(node, ended);
+            listener.link().probe(node, ended);
         }
     }
 }
--- a/src/test/java/cypressglade/nbd/NbdFrontTest.java
+++ b/src/test/java/cypressglade/nbd/NbdFrontTest.java
@@ -34,15 +34,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The NBD front between a client and stand-in servers, under the rules of the core. */
+/** The NBD front between a client and simulated NBD servers, scheduled by the core. */
 class NbdFrontTest {
     private static final int SIZE = 1 << 20;
     private static final int HALF = SIZE / 2;
-    private static final int WRITE = Nbd.CMD_WRITE;
+    private static final int WRITE = NbdProtocol.CMD_WRITE;
 
     private final NbdPeer first = new NbdPeer(SIZE, true);
     private final NbdPeer second = new NbdPeer(SIZE, false);
-    private final Instant born = Instant.now();
+    private final Instant started = Instant.now();
     private Site site;
 
     @BeforeEach
@@ -86,8 +86,8 @@
             in = new DataInputStream(socket.getInputStream());
             socket.setTcpNoDelay(true);
             out = new DataOutputStream(new BufferedOutputStream(socket.getOutputStream()));
-            assertThat(in.readLong()).isEqualTo(Nbd.NBDMAGIC);
-            assertThat(in.readLong()).isEqualTo(Nbd.IHAVEOPT);
+            assertThat(in.readLong()).isEqualTo(NbdProtocol.NBDMAGIC);
+            assertThat(in.readLong()).isEqualTo(NbdProtocol.IHAVEOPT);
             assertThat(in.readShort()).isEqualTo((short) 3);
             out.writeInt(3);
             out.flush();
@@ -96,36 +96,38 @@
         Client go(String export, boolean withChunks) throws IOException {
             structured = withChunks;
             if (withChunks) {
-                assertThat(option(Nbd.OPT_STRUCTURED_REPLY, "")).isEqualTo(Nbd.REP_ACK);
+                assertThat(option(NbdProtocol.OPT_STRUCTURED_REPLY, ""))
+                        .isEqualTo(NbdProtocol.REP_ACK);
             }
-            assertThat(option(Nbd.OPT_GO, named(export))).isEqualTo(Nbd.REP_ACK);
+            assertThat(option(NbdProtocol.OPT_GO, optionData(export)))
+                    .isEqualTo(NbdProtocol.REP_ACK);
             return this;
         }
 
         void send(int option, String data) throws IOException {
-            out.writeLong(Nbd.IHAVEOPT);
+            out.writeLong(NbdProtocol.IHAVEOPT);
             out.writeInt(option);
             out.writeInt(data.length());
             out.write(data.getBytes(StandardCharsets.ISO_8859_1));
             out.flush();
         }
 
-        /** The last reply to an option. */
+        /** Sends an option and returns the type of its last reply. */
         int option(int option, String data) throws IOException {
             send(option, data);
             while (true) {
-                assertThat(in.readLong()).isEqualTo(Nbd.OPTION_REPLY_MAGIC);
+                assertThat(in.readLong()).isEqualTo(NbdProtocol.OPTION_REPLY_MAGIC);
                 assertThat(in.readInt()).isEqualTo(option);
                 int type = in.readInt();
                 in.skipNBytes(in.readInt());
-                if (type != Nbd.REP_INFO && type != Nbd.REP_SERVER) {
+                if (type != NbdProtocol.REP_INFO && type != NbdProtocol.REP_SERVER) {
                     return type;
                 }
             }
         }
 
         void request(int type, long offset, int length, byte[] data) throws IOException {
-            out.writeInt(Nbd.REQUEST_MAGIC);
+            out.writeInt(NbdProtocol.REQUEST_MAGIC);
             out.writeShort(0);
             out.writeShort(type);
             out.writeLong(++cookie);
@@ -135,23 +137,32 @@
             out.flush();
         }
 
-        /** The error of the next reply, which must be the whole one for the last command. */
+        /**
+         * Reads the next reply, which must be the complete reply to the last command; returns its
+         * error.
+         */
         int reply(byte[] into) throws IOException {
             int error;
             assertThat(in.readInt())
-                    .isEqualTo(structured ? Nbd.STRUCTURED_REPLY_MAGIC : Nbd.SIMPLE_REPLY_MAGIC);
+                    .isEqualTo(
+                            structured
+                                    ? NbdProtocol.STRUCTURED_REPLY_MAGIC
+                                    : NbdProtocol.SIMPLE_REPLY_MAGIC);
             if (structured) {
-                assertThat(in.readShort()).isEqualTo((short) Nbd.REPLY_FLAG_DONE);
+                assertThat(in.readShort()).isEqualTo((short) NbdProtocol.REPLY_FLAG_DONE);
                 int type = in.readUnsignedShort();
                 assertThat(in.readLong()).isEqualTo(cookie);
                 int length = in.readInt();
                 assertThat(length)
                         .isEqualTo(
-                                type == Nbd.REPLY_NONE
+                                type == NbdProtocol.REPLY_NONE
                                         ? 0
-                                        : type == Nbd.REPLY_ERROR ? 6 : 8 + into.length);
-                error = type == Nbd.REPLY_ERROR ? in.readInt() : 0;
-                in.skipNBytes(type == Nbd.REPLY_ERROR ? 2 : type == Nbd.REPLY_NONE ? 0 : 8);
+                                        : type == NbdProtocol.REPLY_ERROR ? 6 : 8 + into.length);
+                error = type == NbdProtocol.REPLY_ERROR ? in.readInt() : 0;
+                in.skipNBytes(
+                        type == NbdProtocol.REPLY_ERROR
+                                ? 2
+                                : type == NbdProtocol.REPLY_NONE ? 0 : 8);
             } else {
                 error = in.readInt();
                 assertThat(in.readLong()).isEqualTo(cookie);
@@ -164,7 +175,7 @@
 
         int command(int type, long offset, int length) throws IOException {
             request(type, offset, length, new byte[type == WRITE ? length : 0]);
-            return reply(new byte[type == Nbd.CMD_READ ? length : 0]);
+            return reply(new byte[type == NbdProtocol.CMD_READ ? length : 0]);
         }
 
         void assertClosed() {
@@ -178,7 +189,7 @@
         }
     }
 
-    private static String named(String export) {
+    private static String optionData(String export) {
         return "\0\0\0" + (char) export.length() + export + "\0\0";
     }
 
@@ -190,13 +201,13 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void whatIsWrittenAcrossShardsIsReadBack(boolean structured) throws Exception {
+    void dataWrittenAcrossShardsIsReadBack(boolean structured) throws Exception {
         byte[] data = pattern(100_000);
         byte[] back = new byte[data.length];
         try (Client client = new Client().go("disk", structured)) {
             client.request(WRITE, HALF - 30_000, data.length, data);
             assertThat(client.reply(new byte[0])).isZero();
-            client.request(Nbd.CMD_READ, HALF - 30_000, data.length, new byte[0]);
+            client.request(NbdProtocol.CMD_READ, HALF - 30_000, data.length, new byte[0]);
             assertThat(client.reply(back)).isZero();
         }
         assertThat(back).isEqualTo(data);
@@ -207,26 +218,30 @@
     }
 
     @Test
-    void handshakeKnowsItsOptionsAndAnswersTheOthers() throws Exception {
+    void handshakeAnswersSupportedAndUnsupportedOptions() throws Exception {
         try (Client client = new Client()) {
-            assertThat(client.option(5, "")).isEqualTo(Nbd.REP_ERR_UNSUP);
-            assertThat(client.option(77, "some data")).isEqualTo(Nbd.REP_ERR_UNSUP);
-            assertThat(client.option(Nbd.OPT_LIST, "")).isEqualTo(Nbd.REP_ACK);
-            assertThat(client.option(Nbd.OPT_LIST, "x")).isEqualTo(Nbd.REP_ERR_INVALID);
-            assertThat(client.option(Nbd.OPT_INFO, named("disk"))).isEqualTo(Nbd.REP_ACK);
-            assertThat(client.option(Nbd.OPT_GO, named("none"))).isEqualTo(Nbd.REP_ERR_UNKNOWN);
-            assertThat(client.option(Nbd.OPT_GO, "\0\0\0\u00ffdisk\0\0"))
-                    .isEqualTo(Nbd.REP_ERR_INVALID);
-            assertThat(client.option(Nbd.OPT_GO, "x".repeat(8000))).isEqualTo(Nbd.REP_ERR_TOO_BIG);
-            assertThat(client.option(Nbd.OPT_ABORT, "")).isEqualTo(Nbd.REP_ACK);
+            assertThat(client.option(5, "")).isEqualTo(NbdProtocol.REP_ERR_UNSUP);
+            assertThat(client.option(77, "some data")).isEqualTo(NbdProtocol.REP_ERR_UNSUP);
+            assertThat(client.option(NbdProtocol.OPT_LIST, "")).isEqualTo(NbdProtocol.REP_ACK);
+            assertThat(client.option(NbdProtocol.OPT_LIST, "x"))
+                    .isEqualTo(NbdProtocol.REP_ERR_INVALID);
+            assertThat(client.option(NbdProtocol.OPT_INFO, optionData("disk")))
+                    .isEqualTo(NbdProtocol.REP_ACK);
+            assertThat(client.option(NbdProtocol.OPT_GO, optionData("none")))
+                    .isEqualTo(NbdProtocol.REP_ERR_UNKNOWN);
+            assertThat(client.option(NbdProtocol.OPT_GO, "\0\0\0\u00ffdisk\0\0"))
+                    .isEqualTo(NbdProtocol.REP_ERR_INVALID);
+            assertThat(client.option(NbdProtocol.OPT_GO, "x".repeat(8000)))
+                    .isEqualTo(NbdProtocol.REP_ERR_TOO_BIG);
+            assertThat(client.option(NbdProtocol.OPT_ABORT, "")).isEqualTo(NbdProtocol.REP_ACK);
             client.assertClosed();
         }
         try (Client client = new Client()) {
-            client.send(Nbd.OPT_EXPORT_NAME, "disk");
+            client.send(NbdProtocol.OPT_EXPORT_NAME, "disk");
             assertThat(client.in.readLong()).isEqualTo(SIZE);
             assertThat(client.in.readShort())
-                    .isEqualTo((short) (Nbd.FLAG_HAS_FLAGS | Nbd.FLAG_SEND_FLUSH));
-            assertThat(client.command(Nbd.CMD_READ, 0, 512)).isZero();
+                    .isEqualTo((short) (NbdProtocol.FLAG_HAS_FLAGS | NbdProtocol.FLAG_SEND_FLUSH));
+            assertThat(client.command(NbdProtocol.CMD_READ, 0, 512)).isZero();
         }
     }
 
@@ -243,31 +258,31 @@
         "9, 0, 0, 95",
         "3, 1, 0, 22"
     })
-    void badCommandsGetTheirErrorAndTheNextIsServed(int type, long offset, int length, int error)
+    void invalidCommandGetsItsErrorAndTheNextIsServed(int type, long offset, int length, int error)
             throws Exception {
         try (Client client = new Client().go("disk", true)) {
             assertThat(client.command(type, offset, length)).isEqualTo(error);
-            assertThat(client.command(Nbd.CMD_READ, 0, 512)).isZero();
+            assertThat(client.command(NbdProtocol.CMD_READ, 0, 512)).isZero();
         }
         assertThat(first.commands).hasSize(1);
     }
 
     @Test
-    void writeWhoseReplyStallsHalfwayIsNotReplayedAndGetsOneErrorInTime() throws Exception {
+    void writeWithStalledReplyIsNotResentAndFailsOnceByItsDeadline() throws Exception {
         first.script =
                 (peer, command, out) -> {
-                    // a whole chunk that is not the last, and half of the next
+                    // a complete chunk that is not the last, and the start of the next
                     NbdPeer.chunk(command, 0, 0, 0, out);
                     out.writeInt(0x668e33ef);
                     out.flush();
                 };
         try (Client client = new Client().go("disk", true)) {
             Instant sent = Instant.now();
-            assertThat(client.command(WRITE, 0, 512)).isEqualTo(Nbd.EIO);
+            assertThat(client.command(WRITE, 0, 512)).isEqualTo(NbdProtocol.EIO);
             // The deadline is 0.7 s; a busy machine may see the reply later than it came.
             assertThat(Duration.between(sent, Instant.now())).isLessThan(Duration.ofSeconds(2));
-            assertThat(client.command(Nbd.CMD_READ, HALF, 512))
-                    .isZero(); // the very next reply: there was one
+            assertThat(client.command(NbdProtocol.CMD_READ, HALF, 512))
+                    .isZero(); // the next reply: the write got only one
         }
         assertThat(first.commands).hasSize(1);
         assertThat(site.serve.counters().get(Name.ENDED_TIMEOUT)).isEqualTo(1);
@@ -275,73 +290,77 @@
     }
 
     @Test
-    void writeLostWithItsConnectionIsNotReplayed() throws Exception {
+    void writeLostWithItsConnectionIsNotResent() throws Exception {
         first.script =
                 (peer, command, out) -> {
                     throw new IOException("lost");
                 };
         try (Client client = new Client().go("disk", true)) {
-            assertThat(client.command(WRITE, 0, 512)).isEqualTo(Nbd.EIO);
+            assertThat(client.command(WRITE, 0, 512)).isEqualTo(NbdProtocol.EIO);
         }
         assertThat(first.commands).hasSize(1);
     }
 
     @Test
-    void handshakeDuringADrainIsTurnedAwayAndWorkStops() throws Exception {
+    void handshakesAndCommandsAreRejectedDuringADrain() throws Exception {
         try (Client client = new Client().go("disk", true)) {
             assertThat(client.command(WRITE, 0, 512)).isZero();
             site.tell(42, 0, first.hostPort(), "leaving");
-            assertThat(client.command(WRITE, 0, 512)).isEqualTo(Nbd.ESHUTDOWN);
-            assertThat(client.command(Nbd.CMD_READ, HALF, 512)).isZero();
+            assertThat(client.command(WRITE, 0, 512)).isEqualTo(NbdProtocol.ESHUTDOWN);
+            assertThat(client.command(NbdProtocol.CMD_READ, HALF, 512)).isZero();
             try (Client late = new Client()) {
-                assertThat(late.option(Nbd.OPT_INFO, named("disk")))
-                        .isEqualTo(Nbd.REP_ERR_SHUTDOWN);
-                assertThat(late.option(Nbd.OPT_GO, named("disk"))).isEqualTo(Nbd.REP_ERR_SHUTDOWN);
-                late.send(Nbd.OPT_EXPORT_NAME, "disk");
+                assertThat(late.option(NbdProtocol.OPT_INFO, optionData("disk")))
+                        .isEqualTo(NbdProtocol.REP_ERR_SHUTDOWN);
+                assertThat(late.option(NbdProtocol.OPT_GO, optionData("disk")))
+                        .isEqualTo(NbdProtocol.REP_ERR_SHUTDOWN);
+                late.send(NbdProtocol.OPT_EXPORT_NAME, "disk");
                 late.assertClosed();
             }
         }
         assertThat(first.commands).hasSize(1);
     }
 
-    /** Guards against a slow handshake carrying work past a drain that was told meanwhile. */
+    /**
+     * Guards against a command being sent to a draining node because the drain was announced during
+     * a slow handshake with that node.
+     */
     @Test
-    void drainToldDuringTheHandshakeWithTheNodeSendsNothing() throws Exception {
-        CountDownLatch told = new CountDownLatch(1);
+    void drainAnnouncedDuringTheNodeHandshakeSendsNothing() throws Exception {
+        CountDownLatch announced = new CountDownLatch(1);
         CountDownLatch inHandshake = new CountDownLatch(1);
-        // The read makes the node known, so that no probe comes first; the other export has its own
-        // connection.
+        // The read makes the node known, so that no probe precedes the write; the other export has
+        // its own connection.
         try (Client known = new Client().go("disk", true);
                 Client client = new Client().go("small", true)) {
-            assertThat(known.command(Nbd.CMD_READ, 0, 512)).isZero();
+            assertThat(known.command(NbdProtocol.CMD_READ, 0, 512)).isZero();
             first.beforeGo =
                     () -> {
                         inHandshake.countDown();
-                        told.await();
+                        announced.await();
                     };
             client.request(WRITE, 0, 512, new byte[512]);
             assertThat(inHandshake.await(5, TimeUnit.SECONDS)).isTrue();
             site.tell(42, 0, first.hostPort(), "leaving");
-            told.countDown();
-            // On a busy machine the handshake may have taken too long before the drain was told.
-            assertThat(client.reply(new byte[0])).isIn(Nbd.ESHUTDOWN, Nbd.EIO);
+            announced.countDown();
+            // On a busy machine the handshake may have timed out before the drain was announced.
+            assertThat(client.reply(new byte[0])).isIn(NbdProtocol.ESHUTDOWN, NbdProtocol.EIO);
         }
         assertThat(first.commands).hasSize(1);
     }
 
     /**
-     * Guards against a command that begins behind its client's disconnect, while a node's
-     * connection comes up.
+     * Guards against a command being sent after its client disconnected, while the connection to
+     * the node was being opened.
      */
     @Test
-    void aClientThatLeavesDuringTheHandshakeWithTheNodeGetsNothingBegun() throws Exception {
+    void clientDisconnectDuringTheNodeHandshakeSendsNothing() throws Exception {
         try (Client known = new Client().go("disk", true);
                 Client client = new Client().go("small", true)) {
-            assertThat(known.command(Nbd.CMD_READ, 0, 512)).isZero();
+            assertThat(known.command(NbdProtocol.CMD_READ, 0, 512)).isZero();
             first.beforeGo =
                     () -> {
                         client.socket.close();
-                        // whose way is longer: the end was read before
+                        // by the time of this answer the disconnect has been read
                         site.ask(Site.request("GET", "/healthz", "", ""));
                     };
             client.request(WRITE, 0, 512, new byte[512]);
@@ -357,50 +376,52 @@
     }
 
     @Test
-    void stoppingSchedulerTurnsHandshakesAwayThenCommands() throws Exception {
+    void stoppingSchedulerRejectsHandshakesThenCommands() throws Exception {
         try (Client client = new Client().go("disk", true)) {
             CompletableFuture<Void> stopped = site.drain();
             Site.await(
                     () -> {
                         try (Client late = new Client()) {
-                            return late.option(Nbd.OPT_GO, named("disk")) == Nbd.REP_ERR_SHUTDOWN;
+                            return late.option(NbdProtocol.OPT_GO, optionData("disk"))
+                                    == NbdProtocol.REP_ERR_SHUTDOWN;
                         } catch (IOException failed) {
                             return false;
                         }
                     });
             stopped.get(5, TimeUnit.SECONDS);
-            assertThat(client.command(Nbd.CMD_READ, 0, 512)).isEqualTo(Nbd.ESHUTDOWN);
+            assertThat(client.command(NbdProtocol.CMD_READ, 0, 512))
+                    .isEqualTo(NbdProtocol.ESHUTDOWN);
         }
         assertThat(first.commands).isEmpty();
     }
 
     @Test
-    void limitOfThePlanIsKept() throws Exception {
+    void planLimitIsEnforced() throws Exception {
         int served = 0;
         try (Client client = new Client().go("small", false)) {
             for (int i = 0; i < 10; i++) {
-                int error = client.command(Nbd.CMD_READ, 16384L * i, 16384);
-                assertThat(error).isIn(0, Nbd.EIO);
+                int error = client.command(NbdProtocol.CMD_READ, 16384L * i, 16384);
+                assertThat(error).isIn(0, NbdProtocol.EIO);
                 served += error == 0 ? 1 : 0;
             }
         }
-        // The store starts with its slack of 6 units and fills at 1 a second.
-        long since = Duration.between(born, Instant.now()).toSeconds();
+        // The token bucket starts with its slack of 6 units and refills at 1 unit a second.
+        long since = Duration.between(started, Instant.now()).toSeconds();
         assertThat((long) served).isBetween(6L, 7 + since);
         assertThat(first.commands).hasSize(served);
     }
 
     @Test
-    void flushReachesEveryNodeThatWritesReachedAndNoOther() throws Exception {
+    void flushIsSentToExactlyTheNodesThatReceivedWrites() throws Exception {
         try (Client client = new Client().go("disk", true)) {
-            assertThat(client.command(Nbd.CMD_FLUSH, 0, 0)).isZero();
+            assertThat(client.command(NbdProtocol.CMD_FLUSH, 0, 0)).isZero();
             assertThat(client.command(WRITE, HALF, 512)).isZero();
-            assertThat(client.command(Nbd.CMD_FLUSH, 0, 0)).isZero();
+            assertThat(client.command(NbdProtocol.CMD_FLUSH, 0, 0)).isZero();
         }
         assertThat(first.commands).isEmpty();
         assertThat(second.commands)
                 .extracting(NbdPeer.Command::type)
-                .containsExactly(WRITE, Nbd.CMD_FLUSH);
+                .containsExactly(WRITE, NbdProtocol.CMD_FLUSH);
     }
 
     @ParameterizedTest
@@ -410,14 +431,14 @@
                 "%\u0060\u0095\u0013\0\0\0\1short",
                 "%\u0060\u0095\u0013\0\0\0\1cookie00\0\0\0\0\0\0\0\0\u00ff\u00ff\u00ff\u00ff"
             })
-    void brokenClientLosesItsConnectionAlone(String bytes) throws Exception {
+    void invalidRequestClosesOnlyItsOwnConnection(String bytes) throws Exception {
         try (Client other = new Client().go("disk", true);
                 Client broken = new Client().go("disk", true)) {
             broken.out.write(bytes.getBytes(StandardCharsets.ISO_8859_1));
             broken.out.flush();
             broken.socket.shutdownOutput();
             broken.assertClosed();
-            assertThat(other.command(Nbd.CMD_READ, 0, 512)).isZero();
+            assertThat(other.command(NbdProtocol.CMD_READ, 0, 512)).isZero();
         }
     }
 
@@ -429,7 +450,7 @@
                 "IHAVEOPT\0\0\0\7\u007f\u00ff\u00ff\u00ff",
                 "IHAVEOPT\0\0\0\7\0\0"
             })
-    void brokenHandshakeEnds(String bytes) throws Exception {
+    void invalidHandshakeClosesTheConnection(String bytes) throws Exception {
         try (Client broken = new Client()) {
             broken.out.write(bytes.getBytes(StandardCharsets.ISO_8859_1));
             broken.out.flush();
@@ -437,19 +458,19 @@
             broken.assertClosed();
         }
         try (Client next = new Client().go("disk", false)) {
-            assertThat(next.command(Nbd.CMD_READ, 0, 512)).isZero();
+            assertThat(next.command(NbdProtocol.CMD_READ, 0, 512)).isZero();
         }
     }
 
     @Test
-    void manyCommandsAtOnceAreAllAnswered() throws Exception {
+    void allPipelinedCommandsAreAnswered() throws Exception {
         try (Client client = new Client().go("disk", false)) {
             for (int i = 0; i < 40; i++) {
-                client.request(Nbd.CMD_READ, 512L * i, 512, new byte[0]);
+                client.request(NbdProtocol.CMD_READ, 512L * i, 512, new byte[0]);
             }
             long cookies = 0;
             for (int i = 0; i < 40; i++) {
-                assertThat(client.in.readInt()).isEqualTo(Nbd.SIMPLE_REPLY_MAGIC);
+                assertThat(client.in.readInt()).isEqualTo(NbdProtocol.SIMPLE_REPLY_MAGIC);
                 int error = client.in.readInt();
                 cookies += client.in.readLong();
                 client.in.skipNBytes(error == 0 ? 512 : 0);
--- a/src/test/java/cypressglade/nbd/ReplyParserTest.java
+++ b/src/test/java/cypressglade/nbd/ReplyParserTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Replies to a read of 4 bytes at offset 16, cookie 7, split at any byte. */
+/** Parses replies to a read of 4 bytes at offset 16 with cookie 7, split at any byte. */
 class ReplyParserTest {
     private static final String SIMPLE = "67446698 %s 0000000000000007 ";
     private static final String CHUNK = "668e33ef %s %s 0000000000000007 ";
 
     private final ReplyParser parser =
             new ReplyParser(
-                    NbdWork.read(
+                    NodeCommand.read(
                             new NbdConfig.Export(
                                     "disk", 1, 0, 64, List.of(new NbdConfig.Extent(64, 0))),
                             16,
@@ -53,7 +53,7 @@
             DONE =8001 00000006 00000005 0000 | ERROR | 00000000
             MORE =8002 00000010 00000005 0002 6f6f 0000000000000010 DONE =0000 00000000 | ERROR | 00000000
             """)
-    void wholeReplyIsReadHoweverItIsSplit(String text, Status status, String data)
+    void completeReplyIsParsedHoweverItIsSplit(String text, Status status, String data)
             throws IOException {
         ByteBuffer all = bytes(text);
         while (all.remaining() > 1) {
@@ -83,7 +83,7 @@
                 "DONE =0000 00000001 00",
                 "DONE =0009 00000000"
             })
-    void garbageIsReported(String text) {
+    void invalidReplyThrows(String text) {
         assertThatThrownBy(() -> parser.feed(bytes(text))).isInstanceOf(IOException.class);
     }
 }
