--- a/src/main/java/cypressglade/cli/Serve.java
+++ b/src/main/java/cypressglade/cli/Serve.java
@@ -116,7 +116,7 @@
         nbdNodes = files.nbd().map(front -> new NbdNodeLink(connections, front));
         engine.start(
                 node ->
-                        nbdNodes.isPresent() && nbdNodes.get().speaksTo(directory.findReady(node))
+                        nbdNodes.isPresent() && nbdNodes.get().isNbdNode(directory.findReady(node))
                                 ? nbdNodes.get()
                                 : nodes);
         HandDrains drains = new HandDrains(engine::updateNodes, this::decided);
@@ -167,7 +167,7 @@
 
                                             @Override
                                             public Optional<String> fleet() {
-                                                return peers.flatMap(Peers::view);
+                                                return peers.flatMap(Peers::fleetViewJson);
                                             }
 
                                             @Override
@@ -176,7 +176,9 @@
                                             }
                                         }));
         boolean byHand =
-                control.isPresent() || door.isPresent() || peers.filter(Peers::shares).isPresent();
+                control.isPresent()
+                        || door.isPresent()
+                        || peers.filter(Peers::sharesLimits).isPresent();
         Consumer<NodeList> lists = byHand ? drains::told : engine::updateNodes;
         lists.accept(config.known());
         discovery =
@@ -243,7 +245,7 @@
 
     /** An operator decided something here: the fleet hears of it, where one shares verdicts. */
     private void decided(String subject, String word) {
-        peers.ifPresent(fleet -> fleet.decided(subject, word));
+        peers.ifPresent(fleet -> fleet.announceVerdict(subject, word));
     }
 
     /** What was decided at another member, or here in a former life. */
@@ -341,11 +343,11 @@
         deal(next);
         discovery.use(next.discovery(), next.nodeLists());
         if (files.nbd().isPresent() && blockClients.isPresent()) {
-            nbdNodes.get().use(files.nbd().get());
-            blockClients.get().use(files.nbd().get(), next.settings());
+            nbdNodes.get().reconfigure(files.nbd().get());
+            blockClients.get().reconfigure(files.nbd().get(), next.settings());
         }
         if (files.peers().isPresent() && peers.isPresent()) {
-            peers.get().use(files.peers().get());
+            peers.get().applyConfig(files.peers().get());
         }
         if (!next.listen().equals(config.listen())
                 || files.nbd().isPresent() != blockClients.isPresent()
@@ -419,7 +421,7 @@
         if (door.filter(Doorway::relieved).isPresent()) {
             clients.leavePort();
         }
-        blockClients.ifPresent(NbdListener::leave);
+        blockClients.ifPresent(NbdListener::refuseHandshakes);
         clients.answerBy(served);
         if (blockClients.isPresent()) {
             Instant refused = told.plus(SERVE_ON);
