--- a/src/main/java/cypressglade/cli/Serve.java
+++ b/src/main/java/cypressglade/cli/Serve.java
@@ -235,7 +235,7 @@
     /** Hands each part its values of a configuration, by how many processes share its limits. */
     private void deal(Config shared) {
         Budget budget = shared.budget().among(processes);
-        clients.use(shared.settings(), budget);
+        clients.applySettings(shared.settings(), budget);
         pool.resize(budget.requests(), budget.threads());
         nodes.use(budget.answerBytes(), shared.settings().loadNames());
         connections.use(shared.connectTimeout(), shared.idleLimit(), budget.nodeConnections());
@@ -319,11 +319,11 @@
                     FRONT_TURNED,
                     () -> {
                         if (evacuations.get() == turn) {
-                            clients.leave();
+                            clients.startDraining();
                         }
                     });
         } else {
-            clients.stay();
+            clients.stopDraining();
         }
     }
 
@@ -381,7 +381,7 @@
 
     /** Connections of clients that are open, or are being closed in order. */
     public int connected() {
-        return clients.connected();
+        return clients.connectionCount();
     }
 
     public Counters counters() {
@@ -417,10 +417,10 @@
                 told.plus(longest.compareTo(MOST_COUNTED) < 0 ? longest : MOST_COUNTED)
                         .plus(BEFORE_THE_KILL);
         if (door.filter(Doorway::relieved).isPresent()) {
-            clients.leavePort();
+            clients.stopAccepting();
         }
         blockClients.ifPresent(NbdListener::leave);
-        clients.answerBy(served);
+        clients.setAnswerDeadline(served);
         if (blockClients.isPresent()) {
             Instant refused = told.plus(SERVE_ON);
             Thread.sleep(
@@ -432,13 +432,14 @@
                 System.Logger.Level.INFO,
                 "stopping: {0} requests open, {1} clients connected",
                 pool.openCount(),
-                clients.connected());
-        clients.end();
+                clients.connectionCount());
+        clients.startShutdown();
         pool.stopAll(); // those from before the signal may have longer to go than the program has
         while (pool.openCount() > 0 && MonotonicClock.now().isBefore(served.plus(LINGER))) {
             Thread.sleep(LOOK.toMillis());
         }
-        while (clients.connected() > 0 && MonotonicClock.now().isBefore(served.plus(LINGER))) {
+        while (clients.connectionCount() > 0
+                && MonotonicClock.now().isBefore(served.plus(LINGER))) {
             Thread.sleep(LOOK.toMillis());
         }
         Thread.sleep(SETTLE.toMillis());
--- a/src/main/java/cypressglade/http/ClientListener.java
+++ b/src/main/java/cypressglade/http/ClientListener.java
@@ -116,7 +116,7 @@
     private final Counters counters;
     private final RequestPool pool;
     private final RequestLog log;
-    private final NodeLink<HttpWork> link;
+    private final NodeLink<NodeRequest> link;
     private final BooleanSupplier ready;
     private final Map<StreamConnection, ClientConnection> clients = new HashMap<>();
     private final TraceIds ids = new TraceIds();
@@ -143,7 +143,7 @@
             Engine engine,
             Counters counters,
             RequestPool pool,
-            NodeLink<HttpWork> link,
+            NodeLink<NodeRequest> link,
             BooleanSupplier ready,
             Budget budget,
             Optional<ConnectionPacer> waves) {
@@ -209,7 +209,7 @@
     }
 
     /** Takes new settings and a new budget; requests that are open go on. */
-    public void use(Settings settings, Budget next) {
+    public void applySettings(Settings settings, Budget next) {
         loop.execute(
                 () -> {
                     parser = new RequestParser(settings);
@@ -235,19 +235,19 @@
      * What is taken from now on is answered by a time at the latest, and idle connections stay till
      * then.
      */
-    public void answerBy(Instant time) {
+    public void setAnswerDeadline(Instant time) {
         loop.execute(() -> last = time);
     }
 
     /** From now on each answer ends its connection, and idle ones are closed. */
-    public void leave() {
+    public void startDraining() {
         leave(client -> client.answered);
     }
 
     /** The same at the program's end, for all clients and for those who would still come. */
-    public void end() {
+    public void startShutdown() {
         leave(client -> true);
-        leavePort();
+        stopAccepting();
     }
 
     private void leave(Predicate<ClientConnection> whom) {
@@ -261,7 +261,7 @@
     }
 
     /** Connections of clients that are not closed yet, though it may have begun. */
-    public int connected() {
+    public int connectionCount() {
         return connected;
     }
 
@@ -270,7 +270,7 @@
      * be accepted is taken first: a listener that closes resets those. At the program's end it
      * would be too late, as new ones come by the hundreds once each answer ends its connection.
      */
-    public void leavePort() {
+    public void stopAccepting() {
         loop.execute(
                 () -> {
                     if (!portLeft) {
@@ -281,7 +281,7 @@
     }
 
     /** Undoes {@link #leave}: answers keep their connections again, and idle ones stay. */
-    public void stay() {
+    public void stopDraining() {
         loop.execute(() -> leaving = false);
     }
 
@@ -588,15 +588,15 @@
                         : exchange.getRequestURI() + "?" + exchange.getQueryString();
         HeaderMap headers = exchange.getRequestHeaders();
         Optional<String> key = Optional.ofNullable(headers.getFirst(RequestParser.KEY));
-        HttpWork work =
-                new HttpWork(
+        NodeRequest work =
+                new NodeRequest(
                         exchange.getRequestMethod().toString(),
                         target,
                         headers.getFirst(RequestParser.TRACE_ID),
                         key,
                         body);
         Answer answer = new Answer(exchange);
-        RequestTask<HttpWork> life =
+        RequestTask<NodeRequest> life =
                 new RequestTask<>(engine, counters, request, work, answer, link);
         ClientConnection client = client(exchange);
         if (body.length > budget.bodyBytes() - holding) {
@@ -617,7 +617,7 @@
     }
 
     /** Reads on while the request is open, so that a client that goes away is noticed. */
-    private void watchForEnd(HttpServerExchange exchange, RequestTask<HttpWork> life) {
+    private void watchForEnd(HttpServerExchange exchange, RequestTask<NodeRequest> life) {
         HttpServerConnection connection = (HttpServerConnection) exchange.getConnection();
         connection
                 .getChannel()
--- a/src/main/java/cypressglade/http/NodeClient.java
+++ b/src/main/java/cypressglade/http/NodeClient.java
@@ -17,7 +17,7 @@
 import java.util.function.Function;
 
 /** The platform's storage nodes: HTTP/1.1. */
-public final class NodeClient implements NodeLink<HttpWork> {
+public final class NodeClient implements NodeLink<NodeRequest> {
     /**
      * Answers of some 400 KB were seen where the protocol speaks of 64 KiB: such an answer is a
      * good one. Beyond this it is none, and all that are coming in together stay within the budget.
@@ -51,22 +51,22 @@
     @Override
     public Attempt send(
             long node,
-            HttpWork work,
+            NodeRequest work,
             Instant until,
             BooleanSupplier wanted,
             Consumer<NodeLink.AttemptResult> ended) {
-        return new HttpExchange(node, work::message, until, wanted, ended).start();
+        return new HttpExchange(node, work::encode, until, wanted, ended).start();
     }
 
     @Override
     public void probe(long node, Consumer<NodeLink.AttemptResult> ended) {
         Instant until = MonotonicClock.now().plus(NodePool.PROBE_LIMIT);
-        new HttpExchange(node, left -> HttpWork.probe(), until, () -> true, ended).start();
+        new HttpExchange(node, left -> NodeRequest.encodeProbe(), until, () -> true, ended).start();
     }
 
     private final class HttpExchange extends NodePool.Exchange {
         private final Function<Duration, List<ByteBuffer>> message;
-        private final Body body = new Body();
+        private final ResponseBody body = new ResponseBody();
         private final ResponseParser parser = new ResponseParser(this::take, MOST_BODY);
 
         HttpExchange(
@@ -111,7 +111,7 @@
 
         @Override
         protected byte[] answer() {
-            return body.bytes();
+            return body.toByteArray();
         }
 
         @Override
@@ -129,9 +129,9 @@
         }
 
         private void take(ByteBuffer part) throws IOException {
-            coming -= body.room();
-            body.add(part, parser.length());
-            coming += body.room();
+            coming -= body.capacity();
+            body.append(part, parser.length());
+            coming += body.capacity();
             if (coming > mostComing) {
                 throw new IOException("no room for the answer");
             }
@@ -139,7 +139,7 @@
 
         @Override
         protected void over() {
-            coming -= body.room();
+            coming -= body.capacity();
         }
     }
 }
--- a/src/main/java/cypressglade/http/HttpWork.java
+++ b/src/main/java/cypressglade/http/NodeRequest.java
@@ -10,14 +10,19 @@
  * idempotency key unchanged, the time that is left new. Nodes that drop repeats by key see a repeat
  * as one only when the key comes with it: without it, a second copy of a write runs twice.
  */
-record HttpWork(String method, String target, String traceId, Optional<String> key, byte[] body) {
+record NodeRequest(
+        String method,
+        String target,
+        String traceId,
+        Optional<String> idempotencyKey,
+        byte[] body) {
     /** A request for a sign of life. */
-    static List<ByteBuffer> probe() {
+    static List<ByteBuffer> encodeProbe() {
         return List.of(
                 ResponseParser.ascii("GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n"));
     }
 
-    List<ByteBuffer> message(Duration left) {
+    List<ByteBuffer> encode(Duration left) {
         StringBuilder head =
                 new StringBuilder(200)
                         .append(method)
@@ -27,7 +32,7 @@
                         .append(traceId)
                         .append("\r\nX-Expires-In-Ms: ")
                         .append(Math.max(1, left.toMillis()));
-        key.ifPresent(given -> head.append("\r\nIdempotency-Key: ").append(given));
+        idempotencyKey.ifPresent(given -> head.append("\r\nIdempotency-Key: ").append(given));
         if (!method.equals("GET") || body.length > 0) {
             head.append("\r\nContent-Length: ").append(body.length);
         }
--- a/src/main/java/cypressglade/net/Listening.java
+++ b/src/main/java/cypressglade/net/Listening.java
@@ -67,7 +67,7 @@
 
     /** Accepts no more than so many at a time; whoever comes beyond that waits in the backlog. */
     public void bound(int most) {
-        loop.execute(() -> acceptor.bound(most));
+        loop.execute(() -> acceptor.setMaxOpen(most));
     }
 
     /**
--- a/src/main/java/org/xnio/nio/Acceptor.java
+++ b/src/main/java/org/xnio/nio/Acceptor.java
@@ -84,7 +84,7 @@
     /**
      * Accepts no more while so many connections are open; whoever comes then waits in the backlog.
      */
-    public void bound(int mostOpen) {
+    public void setMaxOpen(int mostOpen) {
         most = mostOpen;
         update();
     }
--- a/src/test/java/cypressglade/http/NodeClientTest.java
+++ b/src/test/java/cypressglade/http/NodeClientTest.java
@@ -63,7 +63,7 @@
             CompletableFuture<NodeLink.AttemptResult> ended = new CompletableFuture<>();
             client.send(
                     1,
-                    new HttpWork(
+                    new NodeRequest(
                             "GET",
                             "/ledger-read/00000003b4d60021/7f3a9c21e0b4d655",
                             "t-1",
--- a/src/test/java/cypressglade/http/PassOnTest.java
+++ b/src/test/java/cypressglade/http/RequestForwardingTest.java
@@ -28,7 +28,7 @@
  * checks every request against what its client wrote, by trace id, and turns each first attempt
  * away unrun.
  */
-class PassOnTest {
+class RequestForwardingTest {
     private static final String LAST_CLASS =
             "\"deadlineUs\":700000,\"worth\":2.0,\"lateWorth\":0.1}";
     private static final String KEYED_CLASS =
--- a/src/test/java/cypressglade/http/RetuneTest.java
+++ b/src/test/java/cypressglade/http/SettingsReloadTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** New settings while requests are open: these keep the rules that they came under. */
-class RetuneTest {
+class SettingsReloadTest {
     private static final String PLACE = "/00000003b4d60021/7f3a9c21e0b4d655";
     private static final String HEADERS = Site.headers(900, "standard", "units=2,shard=0,hosts=1");
 
