--- a/src/main/java/cypressglade/http/ClientConnection.java
+++ b/src/main/java/cypressglade/http/ClientConnection.java
@@ -5,58 +5,72 @@
 import org.xnio.StreamConnection;
 
 /**
- * A client's connection: what is open on it and since when, and what room its bytes take. The I/O
- * thread's alone.
+ * The state of a client's connection: in which phase its current request is and since when, and how
+ * many bytes are accounted to it. Used on the I/O thread only.
  */
 final class ClientConnection {
     final StreamConnection connection;
-    final LingeringClose lingering;
+    final LingeringClose lingeringClose;
     private final WatchedSourceConduit source;
 
-    /** Since when nothing is open, or the first part of a request is here. */
+    /** Start of the current phase: of being idle, of receiving a request, or of writing. */
     Instant since = MonotonicClock.now();
 
-    /** Part of a request's head is here. */
-    boolean coming;
+    /** Part of a request's head has arrived. */
+    boolean isReceivingHead;
 
-    /** A head is here whole and its body is not. */
-    boolean bodyAwaited;
+    /** A request's head is complete and its body is not. */
+    boolean isReceivingBody;
 
-    boolean open;
+    /** A request is open: it was started and is not answered yet. */
+    boolean hasOpenRequest;
 
-    /** A request was answered on it, not just a look at the health. */
-    boolean answered;
+    /**
+     * A request that was open has been answered on it, or one before its body was complete. A
+     * health check does not count.
+     */
+    boolean wasAnswered;
+
+    /** A response is being written. */
+    boolean isWriting;
+
+    /** Bytes reserved for a request body that is not complete. */
+    int receivingBytes;
+
+    /** Bytes of the open request's body. */
+    int openBodyBytes;
+
+    /** Bytes that arrived while a request was open, and are kept for the requests after it. */
+    int pipelinedBytes;
 
-    boolean writing;
-    int receiving;
-    int holding;
-    int pipelined;
-    int answering;
+    /** Bytes of the response that is being written. */
+    int responseBytes;
 
     ClientConnection(StreamConnection connection) {
         this.connection = connection;
-        lingering = new LingeringClose(connection);
-        source = WatchedSourceConduit.on(connection, this::heard);
+        lingeringClose = new LingeringClose(connection);
+        source = WatchedSourceConduit.install(connection, this::onBytesRead);
     }
 
     /**
-     * Bytes came. A client that has been answered may begin its next request at the end of its
-     * rest, and write it slowly; one that has not has its time from the connect, whatever it sends.
+     * Notes the start of a request. The time of a client that was answered before starts anew, as
+     * it may begin its next request at the end of an idle phase and write it slowly. The time of
+     * any other client counts from the connect, whatever it sends.
      */
-    private void heard() {
-        if (!open && !coming && !bodyAwaited) {
-            coming = true;
-            since = answered ? MonotonicClock.now() : since;
+    private void onBytesRead() {
+        if (!hasOpenRequest && !isReceivingHead && !isReceivingBody) {
+            isReceivingHead = true;
+            since = wasAnswered ? MonotonicClock.now() : since;
         }
     }
 
-    /** Whether nothing is owed on it: no request is coming or open, and no answer is on its way. */
-    boolean idle() {
-        return !coming && !bodyAwaited && !open && !writing;
+    /** Whether no request is arriving or open and no response is being written. */
+    boolean isIdle() {
+        return !isReceivingHead && !isReceivingBody && !hasOpenRequest && !isWriting;
     }
 
-    /** Whether bytes have come that nobody has read; looks at the socket. */
+    /** Whether bytes have arrived that were not read; checks the socket. */
     boolean hasUnread() {
-        return source.look() == WatchedSourceConduit.Ahead.BYTES;
+        return source.peek() == WatchedSourceConduit.Input.BYTES;
     }
 }
--- a/src/main/java/cypressglade/http/ClientListener.java
+++ b/src/main/java/cypressglade/http/ClientListener.java
@@ -52,237 +52,274 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Where clients connect. All of it runs on the I/O thread but the request's own task. A connection
- * with nothing open has a short time only, whatever it sends or does not send: those that say
- * nothing, or never end what they say, must not keep the others out.
+ * The HTTP/1.1 listener for clients. Receives requests, submits each to the engine as a {@link
+ * RequestTask}, and writes the response. Limits the number of connections and the bytes that
+ * bodies, pipelined requests and responses occupy. A connection without an open request is closed
+ * after a short time, whatever arrives on it: clients that send nothing, or never complete a
+ * request, must not keep others out.
+ *
+ * <p>All state belongs to the I/O thread, and the public methods pass their work on to it; only
+ * {@link #accept} must be called on it. A request's own task may run on another thread.
  */
 public final class ClientListener implements AutoCloseable {
-    private static final int MOST_BODY = 64 * 1024;
-    private static final int MOST_HEAD = 16 * 1024;
-    private static final int BUFFER = 4 * 1024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final int MAX_HEAD_BYTES = 16 * 1024;
+    private static final int BUFFER_BYTES = 4 * 1024;
 
     /**
-     * Buffers kept for the next request, 2 MB. The framework frees what is not kept later and in
-     * bulk: without any, a storm of 2,000 answers a second had 12 MB waiting to be freed and ran
-     * out.
+     * Buffers kept for reuse, 2 MB. Undertow frees the others late and in bulk: with none kept,
+     * 2,000 responses a second had 12 MB waiting to be freed, and the direct memory ran out.
      */
-    private static final int KEPT_BUFFERS = 512;
+    private static final int POOLED_BUFFERS = 512;
 
-    private static final int PART = 64 * 1024;
+    /** Bytes of a response that are passed to one write. */
+    private static final int WRITE_CHUNK_BYTES = 64 * 1024;
 
     /**
-     * A connection with no open request may be closed after 2 s; one of no client must be within 3
-     * s.
+     * Time after which a connection without an open request is closed. The clients' protocol allows
+     * the close after 2 s, and requires it within 3 s where the peer is no real client.
      */
-    private static final Duration PATIENCE = Duration.ofMillis(2200);
+    private static final Duration IDLE_TIMEOUT = Duration.ofMillis(2200);
 
-    /** For a client to read its answer; beyond any deadline. */
-    private static final Duration READING = Duration.ofSeconds(7);
+    /** Time for a client to read its response; longer than any deadline. */
+    private static final Duration WRITE_TIMEOUT = Duration.ofSeconds(7);
 
-    private static final Duration RECEIVE_LIMIT = Duration.ofSeconds(2);
-    private static final Duration SWEEP = Duration.ofMillis(200);
-    private static final Duration SWEEP_CROWD = Duration.ofMillis(20);
+    private static final Duration RECEIVE_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration SWEEP_INTERVAL = Duration.ofMillis(200);
+    private static final Duration CROWDED_SWEEP_INTERVAL = Duration.ofMillis(20);
 
     /**
-     * What a client may send ahead of time; more is not read, nor a leave behind it seen, till its
-     * turn.
+     * Bytes that are kept of a client's next requests while one is open. Beyond that nothing is
+     * read before their turn, and a disconnect behind them is not noticed until then.
      */
-    private static final int MOST_PIPELINED = 16 * 1024;
+    private static final int MAX_PIPELINED_BYTES = 16 * 1024;
 
-    /**
-     * When a connection may make way for others: one that was used, and one that never said
-     * anything.
-     */
-    private static final Duration RESTED = Duration.ofSeconds(1);
+    /** Idle time after which a connection that had a request may be closed to make room. */
+    private static final Duration MIN_IDLE_TIME = Duration.ofSeconds(1);
+
+    /** Time after which a connection that never had a request may be closed to make room. */
+    private static final Duration MIN_SILENT_TIME = Duration.ofMillis(100);
 
-    private static final Duration SILENT = Duration.ofMillis(100);
+    /** Interval at which the lateness of the I/O thread is measured. */
+    private static final Duration LATENESS_INTERVAL = Duration.ofMillis(20);
 
     /**
-     * How often this thread looks at how late it runs, and from where that is late on average: at
-     * 50 ms next to nothing was in time where two schedulers of 0.43 of a core were asked 5,600
-     * times a second.
+     * Mean lateness above which fewer connections are served. With 50 ms almost no request was
+     * answered in time where two schedulers with 0.43 of a core each were sent 5,600 requests a
+     * second.
      */
-    private static final Duration PACE = Duration.ofMillis(20);
+    private static final Duration MAX_LATENESS = Duration.ofMillis(20);
 
-    private static final Duration LATE = Duration.ofMillis(20);
-    private static final int LEAST_CLIENTS = 32;
+    /** Connections that are served however late the I/O thread runs. */
+    private static final int MIN_CLIENTS = 32;
 
-    /** Accepted beyond the bound, while those that make way for them close. */
-    private static final int CROSSING = 8;
+    /** Connections accepted beyond the limit, while those that make room for them close. */
+    private static final int MAX_EXCESS_CLIENTS = 8;
 
     private final Loop loop;
     private final HttpOpenListener http;
     private final Engine engine;
     private final Counters counters;
-    private final RequestPool pool;
-    private final RequestLog log;
+    private final RequestPool requestPool;
+    private final RequestLog requestLog;
     private final NodeLink<NodeRequest> link;
-    private final BooleanSupplier ready;
+    private final BooleanSupplier isReady;
     private final Map<StreamConnection, ClientConnection> clients = new HashMap<>();
-    private final TraceIds ids = new TraceIds();
+    private final TraceIds traceIds = new TraceIds();
     private Listening listening;
     private RequestParser parser;
     private Budget budget;
-    private int receiving;
-    private int holding; // bodies of requests that are open
-    private int answering;
-    private final ConnectionLimiter intake = new ConnectionLimiter(LEAST_CLIENTS, LATE);
-    private final Optional<ConnectionPacer> waves;
-    private int came; // connections, since the last look at how they come
-    private int atOnce = Integer.MAX_VALUE;
-    private int acceptedAtOnce = Integer.MAX_VALUE;
-    private Instant last = Instant.MAX;
-    private boolean leaving;
-    private boolean portLeft;
-    private volatile int
-            connected; // clients and those that are being closed in order, for other threads
+    private int receivingBytes; // reserved for bodies that arrive, and for pipelined requests
+    private int openBodyBytes; // of requests that are open
+    private int responseBytes; // of responses that are being written
+    private final ConnectionLimiter connectionLimiter =
+            new ConnectionLimiter(MIN_CLIENTS, MAX_LATENESS);
+    private final Optional<ConnectionPacer> connectionPacer;
+    private int acceptedSinceUpdate; // connections, since the pacer was last updated
+    private int servedLimit = Integer.MAX_VALUE; // connections, by the lateness of this thread
+    private int acceptedLimit = Integer.MAX_VALUE; // connections, as the acceptor was last told
+    private Instant latestDeadline = Instant.MAX; // of requests that arrive from now on
+    private boolean isDraining;
+    private boolean hasStoppedAccepting;
+
+    /** Clients' connections, with those in a lingering close. Written on the I/O thread only. */
+    private volatile int connectionCount;
 
+    /**
+     * Creates a listener that is not open yet.
+     *
+     * @param requestPool holds the open requests and limits their number
+     * @param link sends attempts to the storage nodes
+     * @param isReady whether a health check is answered with 200 rather than 503; called on the I/O
+     *     thread
+     * @param connectionPacer limits the rate of accepts in waves of new connections, if present
+     */
     public ClientListener(
             Loop loop,
             Settings settings,
             Engine engine,
             Counters counters,
-            RequestPool pool,
+            RequestPool requestPool,
             NodeLink<NodeRequest> link,
-            BooleanSupplier ready,
+            BooleanSupplier isReady,
             Budget budget,
-            Optional<ConnectionPacer> waves) {
-        this.waves = waves;
+            Optional<ConnectionPacer> connectionPacer) {
+        this.connectionPacer = connectionPacer;
         this.loop = loop;
         this.engine = engine;
         this.counters = counters;
-        this.pool = pool;
-        this.log = engine.requestLog();
+        this.requestPool = requestPool;
+        this.requestLog = engine.requestLog();
         this.link = link;
-        this.ready = ready;
+        this.isReady = isReady;
         this.parser = new RequestParser(settings);
         this.budget = budget;
         http =
                 new HttpOpenListener(
-                        new DefaultByteBufferPool(true, BUFFER, KEPT_BUFFERS, 0),
+                        new DefaultByteBufferPool(true, BUFFER_BYTES, POOLED_BUFFERS, 0),
                         OptionMap.builder()
                                 .set(UndertowOptions.ALWAYS_SET_DATE, false)
-                                .set(UndertowOptions.MAX_HEADER_SIZE, MOST_HEAD)
+                                .set(UndertowOptions.MAX_HEADER_SIZE, MAX_HEAD_BYTES)
                                 .set(UndertowOptions.DECODE_URL, false)
                                 .getMap());
         http.setRootHandler(Handlers.httpContinueRead(this::handle));
     }
 
-    /** Opens the doors. */
+    /**
+     * Starts listening.
+     *
+     * @throws IOException where the address cannot be bound
+     */
     public void start(InetSocketAddress address) throws IOException {
-        listening = loop.share(address, this::accept); // an upgrade's next process listens beside
-        listening.bound(budget.clientConnections() + CROSSING);
+        listening = loop.share(address, this::accept); // shared with the next process of an upgrade
+        listening.bound(budget.clientConnections() + MAX_EXCESS_CLIENTS);
         listening.resume();
         loop.execute(this::sweep);
-        loop.execute(() -> pace(MonotonicClock.now()));
+        loop.execute(() -> updateLimits(MonotonicClock.now()));
     }
 
-    /** Looks at how late this thread runs, and accepts no more than it can work on in time. */
-    private void pace(Instant due) {
+    /**
+     * Measures how late this thread runs, limits the connections to what it can serve in time, and
+     * schedules its next run.
+     */
+    private void updateLimits(Instant due) {
         Instant now = MonotonicClock.now();
-        atOnce =
-                intake.update(
+        servedLimit =
+                connectionLimiter.update(
                         Duration.between(due, now), clients.size(), budget.clientConnections());
-        loop.late(intake.meanLateness());
-        int accepted = atOnce;
-        if (waves.isPresent()) { // it paces those who come, and turns away none who are here
-            int more = waves.get().update(came, now);
-            accepted =
+        loop.late(connectionLimiter.meanLateness());
+        int nextLimit = servedLimit;
+        if (connectionPacer.isPresent()) {
+            // The pacer delays new connections and closes none.
+            int more = connectionPacer.get().update(acceptedSinceUpdate, now);
+            nextLimit =
                     more == Integer.MAX_VALUE
-                            ? atOnce
-                            : Math.min(atOnce, clients.size() - CROSSING + more);
-            came = 0;
+                            ? servedLimit
+                            : Math.min(servedLimit, clients.size() - MAX_EXCESS_CLIENTS + more);
+            acceptedSinceUpdate = 0;
         }
-        if (accepted != acceptedAtOnce && !portLeft) {
-            acceptedAtOnce = accepted;
-            listening.bound(accepted + CROSSING);
+        if (nextLimit != acceptedLimit && !hasStoppedAccepting) {
+            acceptedLimit = nextLimit;
+            listening.bound(nextLimit + MAX_EXCESS_CLIENTS);
         }
-        // Few are never too many; but a wave may begin with any number.
-        Duration wait = clients.size() < LEAST_CLIENTS && waves.isEmpty() ? SWEEP : PACE;
-        Instant then = now.plus(wait);
-        loop.after(wait, () -> pace(then));
+        // Few clients never need a limit, but a wave may start at any number of them.
+        Duration interval =
+                clients.size() < MIN_CLIENTS && connectionPacer.isEmpty()
+                        ? SWEEP_INTERVAL
+                        : LATENESS_INTERVAL;
+        Instant nextDue = now.plus(interval);
+        loop.after(interval, () -> updateLimits(nextDue));
     }
 
-    /** Clients that are worked on at once: by the budget, and fewer where this thread runs late. */
-    private int mostClients() {
-        return Math.min(atOnce, budget.clientConnections());
+    /** Connections that are served at once: the budget, or fewer while this thread runs late. */
+    private int maxClients() {
+        return Math.min(servedLimit, budget.clientConnections());
     }
 
-    /** Takes new settings and a new budget; requests that are open go on. */
-    public void applySettings(Settings settings, Budget next) {
+    /**
+     * Replaces the settings and the budget. Requests that are open keep those they started with.
+     */
+    public void applySettings(Settings settings, Budget newBudget) {
         loop.execute(
                 () -> {
                     parser = new RequestParser(settings);
-                    budget = next;
-                    acceptedAtOnce = Integer.MAX_VALUE; // the next look bounds it anew
-                    atOnce = Integer.MAX_VALUE;
+                    budget = newBudget;
+                    acceptedLimit = Integer.MAX_VALUE; // the next update limits it again
+                    servedLimit = Integer.MAX_VALUE;
                 });
     }
 
     /**
-     * Where clients connect.
+     * Returns the bound address.
      *
-     * @throws IllegalStateException where the doors are not open
+     * @throws IllegalStateException where the listener was not started
      */
     public InetSocketAddress address() {
         if (listening == null) {
-            throw new IllegalStateException("the doors are not open");
+            throw new IllegalStateException("the listener was not started");
         }
         return listening.address();
     }
 
     /**
-     * What is taken from now on is answered by a time at the latest, and idle connections stay till
-     * then.
+     * Sets a time by which requests that arrive from now on are answered at the latest. Connections
+     * that had a request are no longer closed for being idle, until draining starts.
      */
     public void setAnswerDeadline(Instant time) {
-        loop.execute(() -> last = time);
+        loop.execute(() -> latestDeadline = time);
     }
 
-    /** From now on each answer ends its connection, and idle ones are closed. */
+    /**
+     * Closes idle connections that had a request, and from now on each connection after its next
+     * response.
+     */
     public void startDraining() {
-        leave(client -> client.answered);
+        startDraining(client -> client.wasAnswered);
     }
 
-    /** The same at the program's end, for all clients and for those who would still come. */
+    /**
+     * Starts draining for the end of the program: also closes idle connections that never had a
+     * request, and stops accepting.
+     */
     public void startShutdown() {
-        leave(client -> true);
+        startDraining(client -> true);
         stopAccepting();
     }
 
-    private void leave(Predicate<ClientConnection> whom) {
+    private void startDraining(Predicate<ClientConnection> closeable) {
         loop.execute(
                 () -> {
-                    leaving = true;
+                    isDraining = true;
                     List.copyOf(clients.values()).stream()
-                            .filter(whom)
-                            .forEach(client -> closeIfAtRest(client, "leaving"));
+                            .filter(closeable)
+                            .forEach(client -> closeIfIdle(client, "leaving"));
                 });
     }
 
-    /** Connections of clients that are not closed yet, though it may have begun. */
+    /** Connections that are not closed, with those whose close has started. On any thread. */
     public int connectionCount() {
-        return connected;
+        return connectionCount;
     }
 
     /**
-     * Takes no new connection any more, as another process listens on the same port. Who waits to
-     * be accepted is taken first: a listener that closes resets those. At the program's end it
-     * would be too late, as new ones come by the hundreds once each answer ends its connection.
+     * Stops accepting, while another process listens on the same port. Connections in the listen
+     * backlog are accepted first, because closing a listener resets them. To be called before
+     * draining starts: once each response closes its connection, clients connect anew by the
+     * hundreds.
      */
     public void stopAccepting() {
         loop.execute(
                 () -> {
-                    if (!portLeft) {
-                        portLeft = true;
+                    if (!hasStoppedAccepting) {
+                        hasStoppedAccepting = true;
                         listening.acceptWaitingAndClose();
                     }
                 });
     }
 
-    /** Undoes {@link #leave}: answers keep their connections again, and idle ones stay. */
+    /** Undoes {@link #startDraining()}: connections stay open after a response again. */
     public void stopDraining() {
-        loop.execute(() -> leaving = false);
+        loop.execute(() -> isDraining = false);
     }
 
     @Override
@@ -293,137 +330,147 @@
         http.closeConnections();
     }
 
-    /** Takes a new connection, on the I/O thread. */
+    /** Serves a new connection. Must be called on the I/O thread. */
     public void accept(StreamConnection connection) {
-        came++;
-        connected++;
+        acceptedSinceUpdate++;
+        connectionCount++;
         clients.put(connection, new ClientConnection(connection));
         makeRoom();
         http.handleEvent(connection);
     }
 
     /**
-     * Where many are here, those who said nothing since they came make way at once: a client asks
-     * right after it connects, and others wait behind them in the backlog, by the hundreds in a
-     * crowd. At the bound those at rest follow, longest first; one that was used just now is
-     * spared, as its next request may be on it and not read yet while this program is short of
-     * time.
+     * Closes idle connections where there are many. Those that never had a request go first: a
+     * client sends its request right after connecting, and in a crowd others wait behind the silent
+     * ones in the listen backlog, by the hundreds. At the limit connections that had a request
+     * follow, the longest idle first. One that was used a moment ago is spared, as its next request
+     * may have arrived unread while this program is short of CPU time.
      */
     private void makeRoom() {
-        if (!crowded()) {
+        if (!isCrowded()) {
             return;
         }
-        forgetClosed();
+        removeClosed();
         Instant now = MonotonicClock.now();
         List.copyOf(clients.values()).stream()
-                .filter(client -> client.idle() && !client.answered)
-                .filter(client -> client.since.isBefore(now.minus(SILENT)))
-                .forEach(client -> closeIfAtRest(client, "crowded, and silent since it came"));
+                .filter(client -> client.isIdle() && !client.wasAnswered)
+                .filter(client -> client.since.isBefore(now.minus(MIN_SILENT_TIME)))
+                .forEach(client -> closeIfIdle(client, "crowded, and silent since it came"));
         List.copyOf(clients.values()).stream()
-                .filter(client -> client.idle() && client.answered)
-                .filter(client -> client.since.isBefore(now.minus(RESTED)))
+                .filter(client -> client.isIdle() && client.wasAnswered)
+                .filter(client -> client.since.isBefore(now.minus(MIN_IDLE_TIME)))
                 .sorted(Comparator.comparing(client -> client.since))
-                .limit(Math.max(0, clients.size() - mostWithoutCrowd() + CROSSING))
-                .forEach(client -> closeIfAtRest(client, "crowded, and at rest"));
+                .limit(Math.max(0, clients.size() - maxUncrowdedClients() + MAX_EXCESS_CLIENTS))
+                .forEach(client -> closeIfIdle(client, "crowded, and at rest"));
     }
 
-    private boolean crowded() {
-        return clients.size() >= mostWithoutCrowd() * 5 / 6; // the platform's own stay below that
+    private boolean isCrowded() {
+        // The platform's own clients stay below this number.
+        return clients.size() >= maxUncrowdedClients() * 5 / 6;
     }
 
-    /** Clients beyond which those at rest make way. */
-    private int mostWithoutCrowd() {
-        return Math.min(atOnce, budget.clientsWithoutCrowd());
+    /** Connections beyond which idle ones that had a request are closed. */
+    private int maxUncrowdedClients() {
+        return Math.min(servedLimit, budget.clientsWithoutCrowd());
     }
 
+    /** Closes connections whose time is over, expires requests, and schedules its next run. */
     private void sweep() {
-        forgetClosed();
+        removeClosed();
         makeRoom();
-        ids.sweep();
-        pool.expireOverdue(MonotonicClock.now());
-        Instant oldest = MonotonicClock.now().minus(PATIENCE);
-        Instant unread = MonotonicClock.now().minus(READING);
+        traceIds.removeExpired();
+        requestPool.expireOverdue(MonotonicClock.now());
+        Instant idleSince = MonotonicClock.now().minus(IDLE_TIMEOUT);
+        Instant writingSince = MonotonicClock.now().minus(WRITE_TIMEOUT);
         List.copyOf(clients.values()).stream()
-                .filter(client -> client.writing)
-                .filter(client -> client.since.isBefore(unread))
+                .filter(client -> client.isWriting)
+                .filter(client -> client.since.isBefore(writingSince))
                 .forEach(
                         client -> {
-                            log.record(
+                            requestLog.record(
                                     RequestLog.NO_ID,
                                     RequestLog.Event.CUT_OFF,
                                     "its answer was not read in time");
                             close(client);
                         });
         List.copyOf(clients.values()).stream()
-                .filter(client -> client.since.isBefore(oldest))
-                .filter(client -> leaving || last.equals(Instant.MAX) || !client.answered)
-                .forEach(client -> closeIfAtRest(client, "at rest for long"));
+                .filter(client -> client.since.isBefore(idleSince))
+                .filter(
+                        client ->
+                                isDraining
+                                        || latestDeadline.equals(Instant.MAX)
+                                        || !client.wasAnswered)
+                .forEach(client -> closeIfIdle(client, "at rest for long"));
         List.copyOf(clients.values()).stream()
-                .filter(client -> client.coming && !client.open && !client.writing)
-                .filter(client -> client.since.isBefore(oldest))
-                .forEach(this::closeHalf);
-        loop.after(crowded() ? SWEEP_CROWD : SWEEP, this::sweep);
+                .filter(
+                        client ->
+                                client.isReceivingHead
+                                        && !client.hasOpenRequest
+                                        && !client.isWriting)
+                .filter(client -> client.since.isBefore(idleSince))
+                .forEach(this::closeIncomplete);
+        loop.after(isCrowded() ? CROWDED_SWEEP_INTERVAL : SWEEP_INTERVAL, this::sweep);
     }
 
     /**
-     * Closes a connection on which half a request is; one whose rest has come just now has one more
-     * look.
+     * Closes a connection with an incomplete request head. Where unread bytes have arrived, it gets
+     * one more sweep interval.
      */
-    private void closeHalf(ClientConnection client) {
-        Instant longest = MonotonicClock.now().minus(PATIENCE).minus(SWEEP);
-        if (client.since.isBefore(longest) || !client.hasUnread()) {
-            log.record(
+    private void closeIncomplete(ClientConnection client) {
+        Instant extendedLimit = MonotonicClock.now().minus(IDLE_TIMEOUT).minus(SWEEP_INTERVAL);
+        if (client.since.isBefore(extendedLimit) || !client.hasUnread()) {
+            requestLog.record(
                     RequestLog.NO_ID,
                     RequestLog.Event.CLOSED,
                     "half a request, and no more in time");
-            closeInOrder(client);
+            closeGracefully(client);
         }
     }
 
     /**
-     * Closes a connection on which nothing is owed; one whose next request is here already is read
-     * instead.
+     * Closes a connection that is idle. One whose next request has arrived unread is kept, and is
+     * read next.
      */
-    private void closeIfAtRest(ClientConnection client, String why) {
-        if (client.idle() && !client.hasUnread()) {
-            log.record(RequestLog.NO_ID, RequestLog.Event.CLOSED, why);
-            closeInOrder(client);
+    private void closeIfIdle(ClientConnection client, String why) {
+        if (client.isIdle() && !client.hasUnread()) {
+            requestLog.record(RequestLog.NO_ID, RequestLog.Event.CLOSED, why);
+            closeGracefully(client);
         }
     }
 
     /**
-     * Ends a connection with nothing owed on it, by a lingering close. Whoever was never answered
-     * can lose nothing by a plain one, and in a crowd there is no time for more.
+     * Closes a connection by a lingering close. One without an answered request is closed at once,
+     * as its client can lose no response, and a crowd of them leaves no time for more.
      */
-    private void closeInOrder(ClientConnection client) {
-        if (!client.answered) {
+    private void closeGracefully(ClientConnection client) {
+        if (!client.wasAnswered) {
             close(client);
             return;
         }
-        connected++; // left() takes it away, and the connection stays a little
-        left(client);
-        client.lingering.start(loop, () -> connected--);
+        connectionCount++; // releaseConnection() subtracts it, and the socket is open until later
+        releaseConnection(client);
+        client.lingeringClose.start(loop, () -> connectionCount--);
     }
 
     private void close(ClientConnection client) {
         IoUtils.safeClose(client.connection);
-        left(client);
+        releaseConnection(client);
     }
 
-    private void forgetClosed() {
+    private void removeClosed() {
         List.copyOf(clients.values()).stream()
                 .filter(client -> !client.connection.isOpen())
-                .forEach(this::left);
+                .forEach(this::releaseConnection);
     }
 
-    /** The one place where what a connection holds here is given back. */
-    private void left(ClientConnection client) {
-        received(client);
-        hold(client, 0);
-        answered(client);
-        countPipelined(client, 0);
+    /** Releases all that is accounted to a connection. Has no effect where that was done before. */
+    private void releaseConnection(ClientConnection client) {
+        releaseReceiving(client);
+        setOpenBodyBytes(client, 0);
+        releaseResponse(client);
+        setPipelinedBytes(client, 0);
         if (clients.remove(client.connection) != null) {
-            connected--;
+            connectionCount--;
         }
     }
 
@@ -432,12 +479,13 @@
                 ((HttpServerConnection) exchange.getConnection()).getChannel();
         return clients.computeIfAbsent(
                 connection,
-                unknown -> { // closed just now
-                    connected++;
+                unknown -> { // it was closed a moment ago
+                    connectionCount++;
                     return new ClientConnection(unknown);
                 });
     }
 
+    /** Returns the trace id that the client sent, for the log. */
     private static String id(HttpServerExchange exchange) {
         String id = exchange.getRequestHeaders().getFirst(RequestParser.TRACE_ID);
         return id == null ? RequestLog.NO_ID : id;
@@ -446,8 +494,8 @@
     private void handle(HttpServerExchange exchange) {
         Instant arrived = MonotonicClock.now();
         ClientConnection client = client(exchange);
-        client.coming = false;
-        if (client.answered) { // the time of the first request is counted from the connect
+        client.isReceivingHead = false;
+        if (client.wasAnswered) { // the first request's time counts from the connect
             client.since = arrived;
         }
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> route(exchange, arrived));
@@ -455,15 +503,16 @@
 
     private void route(HttpServerExchange exchange, Instant arrived) {
         switch (exchange.getRequestURI()) {
-            case "/healthz" -> answer(exchange, ready.getAsBoolean() ? 200 : 503, new byte[0]);
-            case "/recent" -> answer(exchange, 200, log.text().getBytes(StandardCharsets.UTF_8));
+            case "/healthz" -> answer(exchange, isReady.getAsBoolean() ? 200 : 503, new byte[0]);
+            case "/recent" ->
+                    answer(exchange, 200, requestLog.text().getBytes(StandardCharsets.UTF_8));
             case "/counters" ->
                     answer(exchange, 200, counters.text().getBytes(StandardCharsets.UTF_8));
-            default -> take(exchange, arrived);
+            default -> receive(exchange, arrived);
         }
     }
 
-    private void take(HttpServerExchange exchange, Instant arrived) {
+    private void receive(HttpServerExchange exchange, Instant arrived) {
         IoRequest request;
         try {
             request =
@@ -472,30 +521,31 @@
                                     exchange.getRequestURI(),
                                     exchange.getRequestHeaders(),
                                     arrived)
-                            .withDeadlineAtMost(last);
-            if (exchange.getRequestContentLength() > MOST_BODY) {
-                throw new RequestParser.Rejected(413, "the body is over 64 KiB");
+                            .withDeadlineAtMost(latestDeadline);
+            if (exchange.getRequestContentLength() > MAX_BODY_BYTES) {
+                throw new RequestParser.RejectedRequestException(413, "the body is over 64 KiB");
             }
-            if (!ids.take(
+            if (!traceIds.register(
                     exchange.getRequestHeaders().getFirst(RequestParser.TRACE_ID),
                     request.expiry())) {
-                throw new RequestParser.Rejected(409, "X-Trace-Id is another request's");
+                throw new RequestParser.RejectedRequestException(
+                        409, "X-Trace-Id is another request's");
             }
-        } catch (RequestParser.Rejected rejected) {
+        } catch (RequestParser.RejectedRequestException rejected) {
             reject(exchange, rejected.status(), rejected.getMessage());
             return;
         }
-        Receipt receipt = new Receipt(exchange, request.expiry());
-        if (receiving > budget.receivingBytes()) {
-            receipt.turnAway();
+        BodyReceipt receipt = new BodyReceipt(exchange, request.expiry());
+        if (receivingBytes > budget.receivingBytes()) {
+            receipt.refuse();
             return;
         }
-        // The receiver's bound leaves the connection open for the 413, where the exchange's own
-        // closes it.
-        exchange.getRequestReceiver().setMaxBufferSize(MOST_BODY);
-        // Where the body comes after a 100 Continue, this runs as a root handler: an exchange that
-        // is not dispatched by its end is ended by the framework with an empty 200, which no node
-        // made.
+        // The receiver's limit leaves the connection open for the response 413, where the
+        // exchange's own limit closes it.
+        exchange.getRequestReceiver().setMaxBufferSize(MAX_BODY_BYTES);
+        // Where the body follows a 100 Continue, this runs as a root handler. Undertow ends an
+        // exchange that its root handler has not dispatched with an empty 200, which would pass for
+        // a node's response: hence the dispatch.
         exchange.getRequestReceiver()
                 .receiveFullBytes(
                         (same, body) ->
@@ -503,7 +553,7 @@
                                         SameThreadExecutor.INSTANCE,
                                         () -> {
                                             if (receipt.end()) {
-                                                begin(same, request, body);
+                                                startRequest(same, request, body);
                                             }
                                         }),
                         (same, failure) -> {
@@ -514,7 +564,7 @@
                                 reject(same, 413, "the body is over 64 KiB");
                             } else {
                                 counters.add(Name.MALFORMED);
-                                log.record(
+                                requestLog.record(
                                         id(same),
                                         RequestLog.Event.MALFORMED,
                                         "its body broke off: " + failure);
@@ -524,51 +574,56 @@
     }
 
     /**
-     * A body that is coming in. What is not whole when its client is about to stop waiting is
-     * turned away: its room must not be held for ever.
+     * The receipt of a request's body, with the bytes that are reserved for it. A request whose
+     * body is incomplete when the time is over is refused, as it must not occupy memory for ever.
      */
-    private final class Receipt {
+    private final class BodyReceipt {
         private final HttpServerExchange exchange;
         private final ClientConnection client;
-        private final XnioExecutor.Key limit;
-        private boolean over;
+        private final XnioExecutor.Key timeout;
+        private boolean hasEnded;
 
-        Receipt(HttpServerExchange exchange, Instant until) {
+        BodyReceipt(HttpServerExchange exchange, Instant expiry) {
             this.exchange = exchange;
             client = client(exchange);
-            boolean whole = exchange.isRequestComplete();
-            if (!whole) {
+            boolean isComplete = exchange.isRequestComplete();
+            if (!isComplete) {
                 counters.add(Name.BODIES_AWAITED);
             }
-            client.bodyAwaited = !whole;
-            long told = exchange.getRequestContentLength();
-            client.receiving = 2 * (int) (whole ? 0 : told >= 0 ? told : MOST_BODY);
-            receiving += client.receiving;
-            Instant most = client.since.plus(RECEIVE_LIMIT);
-            limit =
-                    whole
+            client.isReceivingBody = !isComplete;
+            long contentLength = exchange.getRequestContentLength();
+            client.receivingBytes =
+                    2
+                            * (int)
+                                    (isComplete
+                                            ? 0
+                                            : contentLength >= 0 ? contentLength : MAX_BODY_BYTES);
+            receivingBytes += client.receivingBytes;
+            Instant limit = client.since.plus(RECEIVE_TIMEOUT);
+            timeout =
+                    isComplete
                             ? () -> true
                             : loop.after(
-                                    MonotonicClock.until(most.isBefore(until) ? most : until),
-                                    this::turnAway);
+                                    MonotonicClock.until(limit.isBefore(expiry) ? limit : expiry),
+                                    this::refuse);
         }
 
-        /** Ends it; false where it has ended before. */
+        /** Ends the receipt; returns false where it had ended before. */
         boolean end() {
-            if (over) {
+            if (hasEnded) {
                 return false;
             }
-            over = true;
-            limit.remove();
-            client.bodyAwaited = false;
-            received(client);
+            hasEnded = true;
+            timeout.remove();
+            client.isReceivingBody = false;
+            releaseReceiving(client);
             return true;
         }
 
-        void turnAway() {
+        void refuse() {
             if (end()) {
                 counters.add(Name.REFUSED_NO_ROOM);
-                log.record(
+                requestLog.record(
                         id(exchange),
                         RequestLog.Event.REFUSED,
                         "no room for its body, or it did not come in time");
@@ -577,9 +632,10 @@
         }
     }
 
-    private void begin(HttpServerExchange exchange, IoRequest request, byte[] body) {
-        if (hasLeft(exchange)) { // while its body came, or while an earlier request of its was open
-            gone(exchange);
+    private void startRequest(HttpServerExchange exchange, IoRequest request, byte[] body) {
+        // The client may have left while the body arrived, or while its previous request was open.
+        if (hasDisconnected(exchange)) {
+            handleDisconnect(exchange);
             return;
         }
         String target =
@@ -587,221 +643,228 @@
                         ? exchange.getRequestURI()
                         : exchange.getRequestURI() + "?" + exchange.getQueryString();
         HeaderMap headers = exchange.getRequestHeaders();
-        Optional<String> key = Optional.ofNullable(headers.getFirst(RequestParser.KEY));
-        NodeRequest work =
+        Optional<String> key = Optional.ofNullable(headers.getFirst(RequestParser.IDEMPOTENCY_KEY));
+        NodeRequest nodeRequest =
                 new NodeRequest(
                         exchange.getRequestMethod().toString(),
                         target,
                         headers.getFirst(RequestParser.TRACE_ID),
                         key,
                         body);
-        Answer answer = new Answer(exchange);
-        RequestTask<NodeRequest> life =
-                new RequestTask<>(engine, counters, request, work, answer, link);
+        ExchangeResponder responder = new ExchangeResponder(exchange);
+        RequestTask<NodeRequest> task =
+                new RequestTask<>(engine, counters, request, nodeRequest, responder, link);
         ClientConnection client = client(exchange);
-        if (body.length > budget.bodyBytes() - holding) {
+        if (body.length > budget.bodyBytes() - openBodyBytes) {
             counters.add(Name.REFUSED_NO_ROOM);
-            log.record(
-                    answer.requestId(),
+            requestLog.record(
+                    responder.requestId(),
                     RequestLog.Event.REFUSED,
                     "no room for the bodies of open requests");
-            answer.refuse(Duration.ZERO);
-        } else if (pool.start(life)) {
-            client.open = true;
-            hold(client, body.length);
-            watchForEnd(exchange, life);
+            responder.refuse(Duration.ZERO);
+        } else if (requestPool.start(task)) {
+            client.hasOpenRequest = true;
+            setOpenBodyBytes(client, body.length);
+            watchForDisconnect(exchange, task);
         } else {
-            log.record(answer.requestId(), RequestLog.Event.REFUSED, "too many requests are open");
-            answer.refuse(Duration.ZERO);
+            requestLog.record(
+                    responder.requestId(), RequestLog.Event.REFUSED, "too many requests are open");
+            responder.refuse(Duration.ZERO);
         }
     }
 
-    /** Reads on while the request is open, so that a client that goes away is noticed. */
-    private void watchForEnd(HttpServerExchange exchange, RequestTask<NodeRequest> life) {
+    /** Keeps reading while a request is open, so that a disconnect of its client is noticed. */
+    private void watchForDisconnect(HttpServerExchange exchange, RequestTask<NodeRequest> task) {
         HttpServerConnection connection = (HttpServerConnection) exchange.getConnection();
         connection
                 .getChannel()
                 .getSourceChannel()
                 .setReadListener(
                         source -> {
-                            if (hasLeft(exchange)) {
-                                life.clientDisconnected();
-                                gone(exchange);
+                            if (hasDisconnected(exchange)) {
+                                task.clientDisconnected();
+                                handleDisconnect(exchange);
                             }
                         });
         connection.getOriginalSourceConduit().resumeReads();
     }
 
-    private void gone(HttpServerExchange exchange) {
+    private void handleDisconnect(HttpServerExchange exchange) {
         counters.add(Name.GONE);
-        log.record(id(exchange), RequestLog.Event.GONE, "its client left");
+        requestLog.record(id(exchange), RequestLog.Event.GONE, "its client left");
         IoUtils.safeClose(exchange.getConnection());
-        left(client(exchange));
+        releaseConnection(client(exchange));
     }
 
     /**
-     * Reads all that is here, keeps it for the next requests, and tells whether the client has
-     * left.
+     * Reads all input that has arrived, keeps it for the client's next requests, and returns
+     * whether the client has disconnected.
      */
-    private boolean hasLeft(HttpServerExchange exchange) {
+    private boolean hasDisconnected(HttpServerExchange exchange) {
         HttpServerConnection connection = (HttpServerConnection) exchange.getConnection();
         ClientConnection client = client(exchange);
-        countPipelined(connection, client); // the framework may have left some of what it read
-        while (client.pipelined < MOST_PIPELINED && receiving <= budget.receivingBytes()) {
-            PooledByteBuffer fresh = connection.getByteBufferPool().allocate();
-            int got;
+        setPipelinedBytes(connection, client); // Undertow may have left some of what it read
+        while (client.pipelinedBytes < MAX_PIPELINED_BYTES
+                && receivingBytes <= budget.receivingBytes()) {
+            PooledByteBuffer input = connection.getByteBufferPool().allocate();
+            int count;
             try {
-                got = connection.getOriginalSourceConduit().read(fresh.getBuffer());
+                count = connection.getOriginalSourceConduit().read(input.getBuffer());
             } catch (IOException reset) {
-                got = -1;
+                count = -1;
             }
-            if (got <= 0) {
-                fresh.close();
-                return got < 0;
+            if (count <= 0) {
+                input.close();
+                return count < 0;
             }
-            keepPipelined(connection, client, fresh);
+            storePipelined(connection, client, input);
         }
-        connection
-                .getOriginalSourceConduit()
-                .suspendReads(); // a client that sends so much is still there
+        // A client that sends as much as this is connected.
+        connection.getOriginalSourceConduit().suspendReads();
         return false;
     }
 
-    private void keepPipelined(
-            HttpServerConnection connection, ClientConnection client, PooledByteBuffer fresh) {
-        fresh.getBuffer().flip();
-        PooledByteBuffer held = connection.getExtraBytes();
-        if (held == null) {
-            connection.setExtraBytes(fresh);
-        } else { // an unget would put the new bytes in front
-            ByteBuffer first = held.getBuffer();
+    private void storePipelined(
+            HttpServerConnection connection, ClientConnection client, PooledByteBuffer input) {
+        input.getBuffer().flip();
+        PooledByteBuffer kept = connection.getExtraBytes();
+        if (kept == null) {
+            connection.setExtraBytes(input);
+        } else { // pushing back the new bytes would put them first
+            ByteBuffer first = kept.getBuffer();
             ByteBuffer both =
-                    ByteBuffer.allocate(first.remaining() + fresh.getBuffer().remaining());
-            both.put(first).put(fresh.getBuffer()).flip();
-            held.close();
-            fresh.close();
+                    ByteBuffer.allocate(first.remaining() + input.getBuffer().remaining());
+            both.put(first).put(input.getBuffer()).flip();
+            kept.close();
+            input.close();
             connection.setExtraBytes(new ImmediatePooledByteBuffer(both));
         }
-        countPipelined(connection, client);
+        setPipelinedBytes(connection, client);
     }
 
-    private void countPipelined(HttpServerConnection connection, ClientConnection client) {
-        PooledByteBuffer held = connection.getExtraBytes();
-        countPipelined(client, held == null ? 0 : held.getBuffer().remaining());
+    private void setPipelinedBytes(HttpServerConnection connection, ClientConnection client) {
+        PooledByteBuffer kept = connection.getExtraBytes();
+        setPipelinedBytes(client, kept == null ? 0 : kept.getBuffer().remaining());
     }
 
-    /** The one place where the room of what was sent ahead of time is taken and given back. */
-    private void countPipelined(ClientConnection client, int bytes) {
-        receiving += bytes - client.pipelined;
-        client.pipelined = bytes;
+    /** Sets the bytes of pipelined requests that are accounted to a connection. */
+    private void setPipelinedBytes(ClientConnection client, int bytes) {
+        receivingBytes += bytes - client.pipelinedBytes;
+        client.pipelinedBytes = bytes;
     }
 
-    /** The one place where the room of an open request's body is taken and given back. */
-    private void hold(ClientConnection client, int bytes) {
-        holding += bytes - client.holding;
-        client.holding = bytes;
+    /** Sets the bytes of the open request's body that are accounted to a connection. */
+    private void setOpenBodyBytes(ClientConnection client, int bytes) {
+        openBodyBytes += bytes - client.openBodyBytes;
+        client.openBodyBytes = bytes;
     }
 
-    /** The one place where the room of a body is given back. */
-    private void received(ClientConnection client) {
-        receiving -= client.receiving;
-        client.receiving = 0;
+    /** Releases the bytes that are reserved for a body that arrives. */
+    private void releaseReceiving(ClientConnection client) {
+        receivingBytes -= client.receivingBytes;
+        client.receivingBytes = 0;
     }
 
+    /** Answers a malformed request, and closes its connection after that. */
     private void reject(HttpServerExchange exchange, int status, String why) {
         counters.add(Name.MALFORMED);
-        log.record(id(exchange), RequestLog.Event.MALFORMED, why);
+        requestLog.record(id(exchange), RequestLog.Event.MALFORMED, why);
         exchange.setPersistent(false);
         answer(exchange, status, (why + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    /** The one place where the room of an answer is given back. */
-    private void answered(ClientConnection client) {
-        answering -= client.answering;
-        client.answering = 0;
+    /** Releases the bytes of a response. */
+    private void releaseResponse(ClientConnection client) {
+        responseBytes -= client.responseBytes;
+        client.responseBytes = 0;
     }
 
+    /**
+     * Answers an exchange and ends its request. Answers 502 in place of a body for which there is
+     * no memory left.
+     */
     private void answer(HttpServerExchange exchange, int status, byte[] body) {
         ClientConnection client = client(exchange);
-        if (!client.connection.isOpen()) { // the client left just now
-            left(client);
+        if (!client.connection.isOpen()) { // the client left a moment ago
+            releaseConnection(client);
             return;
         }
-        if (body.length
-                > budget.answerBytes() - answering) { // clients that do not read hold too much
-            log.record(
+        // Clients that do not read their responses may occupy all of the memory for them.
+        if (body.length > budget.answerBytes() - responseBytes) {
+            requestLog.record(
                     id(exchange),
                     RequestLog.Event.FAILED,
                     "no room for its answer of " + body.length + " bytes");
             answer(exchange, 502, new byte[0]);
             return;
         }
-        hold(client, 0);
-        client.answered |=
-                client.open; // whoever only looks at the health makes way as the silent do
-        client.open = false;
+        setOpenBodyBytes(client, 0);
+        // A connection that was used for health checks only is closed as early as a silent one.
+        client.wasAnswered |= client.hasOpenRequest;
+        client.hasOpenRequest = false;
         client.since = MonotonicClock.now();
         if (!exchange.isRequestComplete()) {
-            answerUnread((HttpServerConnection) exchange.getConnection(), client, status);
+            answerBeforeBody((HttpServerConnection) exchange.getConnection(), client, status);
             return;
         }
         exchange.setStatusCode(status);
-        if (leaving || clients.size() > mostClients() + CROSSING) {
+        if (isDraining || clients.size() > maxClients() + MAX_EXCESS_CLIENTS) {
             exchange.setPersistent(false);
         }
         exchange.getResponseHeaders().put(Headers.CONTENT_LENGTH, Integer.toString(body.length));
-        client.answering = body.length;
-        answering += body.length;
-        client.writing = true;
+        client.responseBytes = body.length;
+        responseBytes += body.length;
+        client.isWriting = true;
         exchange.addExchangeCompleteListener(
                 (done, next) -> {
-                    answered(client);
+                    releaseResponse(client);
                     client.since = MonotonicClock.now();
-                    client.writing = false;
-                    client.coming = client.pipelined > 0; // the next request, or a part of it
-                    countPipelined(client, 0);
+                    client.isWriting = false;
+                    // Pipelined bytes are the next request, or a part of it.
+                    client.isReceivingHead = client.pipelinedBytes > 0;
+                    setPipelinedBytes(client, 0);
                     next.proceed();
                 });
         send(exchange, ByteBuffer.wrap(body));
     }
 
     /**
-     * Sends a body part by part. Guards against a write of all that is left, which copies it whole
-     * into a buffer outside the heap each time, whatever the socket takes.
+     * Sends a body in chunks. A single write of all that remains would copy all of it into a direct
+     * buffer each time, however little the socket takes.
      */
-    private static void send(HttpServerExchange exchange, ByteBuffer left) {
-        int size = Math.min(left.remaining(), PART);
-        ByteBuffer part = left.slice(left.position(), size);
-        left.position(left.position() + size);
+    private static void send(HttpServerExchange exchange, ByteBuffer remaining) {
+        int size = Math.min(remaining.remaining(), WRITE_CHUNK_BYTES);
+        ByteBuffer chunk = remaining.slice(remaining.position(), size);
+        remaining.position(remaining.position() + size);
         exchange.getResponseSender()
                 .send(
-                        part,
-                        !left.hasRemaining()
+                        chunk,
+                        !remaining.hasRemaining()
                                 ? IoCallback.END_EXCHANGE
                                 : new DefaultIoCallback() {
                                     @Override
                                     public void onComplete(HttpServerExchange same, Sender sender) {
-                                        send(same, left);
+                                        send(same, remaining);
                                     }
                                 });
     }
 
     /**
-     * Answers a request whose body is not all read, and ends its connection. Guards against reading
-     * 60 MB, or waiting for what never comes, before the answer can be whole.
+     * Answers a request whose body was not read to its end, and closes its connection. Undertow
+     * would first read the rest, which may be 60 MB or never arrive.
      */
-    private void answerUnread(
+    private void answerBeforeBody(
             HttpServerConnection connection, ClientConnection client, int status) {
-        client.answered = true;
+        client.wasAnswered = true;
         try {
-            connection.getOriginalSinkConduit().write(closingAnswer(status));
-            closeInOrder(client);
-        } catch (IOException gone) {
+            connection.getOriginalSinkConduit().write(encodeClosingResponse(status));
+            closeGracefully(client);
+        } catch (IOException broken) {
             close(client);
         }
     }
 
-    private static ByteBuffer closingAnswer(int status) {
+    private static ByteBuffer encodeClosingResponse(int status) {
         String head =
                 "HTTP/1.1 "
                         + status
@@ -811,17 +874,17 @@
         return ByteBuffer.wrap(head.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** The answer to one exchange. */
-    private final class Answer implements Responder {
+    /** Answers one exchange; its methods may be called on any thread but the first. */
+    private final class ExchangeResponder implements Responder {
         private final HttpServerExchange exchange;
 
-        Answer(HttpServerExchange exchange) {
+        ExchangeResponder(HttpServerExchange exchange) {
             this.exchange = exchange;
         }
 
         @Override
         public boolean isClientConnected() {
-            return !hasLeft(exchange);
+            return !hasDisconnected(exchange);
         }
 
         @Override
@@ -830,15 +893,15 @@
         }
 
         @Override
-        public void serve(byte[] answer) {
-            loop.execute(() -> answer(exchange, 200, answer));
+        public void serve(byte[] body) {
+            loop.execute(() -> answer(exchange, 200, body));
         }
 
         @Override
         public void refuse(Duration retryAfter) {
             loop.execute(
                     () -> {
-                        ids.release(requestId());
+                        traceIds.release(requestId());
                         if (!retryAfter.isZero()) {
                             exchange.getResponseHeaders()
                                     .put(
--- a/src/main/java/cypressglade/http/LingeringClose.java
+++ b/src/main/java/cypressglade/http/LingeringClose.java
@@ -11,58 +11,65 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * The sending side ends first, what still comes is read and dropped, and the connection is closed
- * when the client has ended its side too, or a little later. A close over unread bytes would reset
- * the connection, and an answer that its client has not read yet would go with it. On the I/O
- * thread.
+ * Closes a connection in the order that RFC 9112, section 9.6, asks for: shuts down the sending
+ * side, reads and discards what still arrives, and closes the connection when the client has shut
+ * down its side too, or after a short time. Closing while unread bytes are in the receive buffer
+ * would reset the connection, and the client would lose a response that it has not read yet. Used
+ * on the I/O thread only.
  */
 final class LingeringClose {
-    private static final Duration MOST = Duration.ofMillis(500);
-    private static final int MOST_DROPPED = 256 * 1024;
-    private static final int BUFFER = 4 * 1024;
+    private static final Duration MAX_LINGER = Duration.ofMillis(500);
+    private static final int MAX_DISCARDED_BYTES = 256 * 1024;
+    private static final int BUFFER_BYTES = 4 * 1024;
 
     private final StreamConnection connection;
     private final StreamSourceConduit source;
     private final StreamSinkConduit sink;
-    private ByteBuffer dropped;
-    private int total;
-    private Runnable closed;
-    private XnioExecutor.Key limit;
+    private ByteBuffer discardBuffer; // null before the start and after the close
+    private int discardedBytes;
+    private Runnable onClosed;
+    private XnioExecutor.Key timeout;
 
-    /** Of a connection on which nothing was put yet. */
+    /**
+     * Keeps the conduits that the connection has now, so that reads and writes bypass any that are
+     * put on it later.
+     */
     LingeringClose(StreamConnection connection) {
         this.connection = connection;
         source = connection.getSourceChannel().getConduit();
         sink = connection.getSinkChannel().getConduit();
     }
 
-    /** Begins it; {@code over} runs once the connection is closed. */
-    void start(Loop loop, Runnable over) {
-        if (closed != null) { // begun before
-            over.run();
+    /**
+     * Starts closing. {@code onClosed} runs once the connection is closed, or at once where the
+     * close was started before.
+     */
+    void start(Loop loop, Runnable onClosed) {
+        if (this.onClosed != null) {
+            onClosed.run();
             return;
         }
-        closed = over;
-        dropped = ByteBuffer.allocate(BUFFER);
-        limit = loop.after(MOST, this::close);
+        this.onClosed = onClosed;
+        discardBuffer = ByteBuffer.allocate(BUFFER_BYTES);
+        timeout = loop.after(MAX_LINGER, this::close);
         try {
             sink.terminateWrites();
-            connection.getSourceChannel().setReadListener(channel -> drop());
+            connection.getSourceChannel().setReadListener(channel -> discardInput());
             source.resumeReads();
-            drop();
-        } catch (IOException gone) {
+            discardInput();
+        } catch (IOException broken) {
             close();
         }
     }
 
-    private void drop() {
+    private void discardInput() {
         try {
-            while (dropped != null) {
-                int got = source.read(dropped.clear());
-                total += Math.max(0, got);
-                if (got < 0 || total > MOST_DROPPED) {
+            while (discardBuffer != null) {
+                int count = source.read(discardBuffer.clear());
+                discardedBytes += Math.max(0, count);
+                if (count < 0 || discardedBytes > MAX_DISCARDED_BYTES) {
                     close();
-                } else if (got == 0) {
+                } else if (count == 0) {
                     return;
                 }
             }
@@ -72,11 +79,11 @@
     }
 
     private void close() {
-        if (dropped != null) {
-            dropped = null;
-            limit.remove();
+        if (discardBuffer != null) {
+            discardBuffer = null;
+            timeout.remove();
             IoUtils.safeClose(connection);
-            closed.run();
+            onClosed.run();
         }
     }
 }
--- a/src/main/java/cypressglade/http/RequestParser.java
+++ b/src/main/java/cypressglade/http/RequestParser.java
@@ -16,43 +16,57 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Reads what the core needs to know out of a client's request. */
+/**
+ * Translates the head of a client's request into an {@link IoRequest}, and rejects what is
+ * malformed or could be read in two ways. Holds the settings that were in force when it was made.
+ * Immutable.
+ */
 final class RequestParser {
     static final HttpString TRACE_ID = new HttpString("X-Trace-Id");
-    static final HttpString KEY = new HttpString("Idempotency-Key");
-    private static final long FNV_BASIS = 0xcbf29ce484222325L;
+    static final HttpString IDEMPOTENCY_KEY = new HttpString("Idempotency-Key");
+
+    /** Offset basis of 64-bit FNV-1a (Fowler, Noll and Vo). */
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+
     private static final long FNV_PRIME = 0x100000001b3L;
+
     private static final HttpString TIER = new HttpString("Tier");
-    private static final HttpString EXPIRES = new HttpString("X-Expires-In-Ms");
+    private static final HttpString EXPIRES_IN_MS = new HttpString("X-Expires-In-Ms");
     private static final HttpString IO_INFO = new HttpString("IO-Info");
-    private static final HttpString SECOND_TRY = new HttpString("X-Second-Try");
-    private static final Pattern PATH = Pattern.compile("/([^/]+)/([^/]+)/([^/]+)");
-    private static final Pattern HEX = Pattern.compile("[0-9a-fA-F]{16}");
-    private static final Pattern INFO = Pattern.compile("(units|shard|hosts)=(-?[0-9.]{1,12})");
-    private static final Pattern LENGTH = Pattern.compile("[0-9]{1,18}");
-    private static final Pattern NAME = Pattern.compile("[-!#$%&'*+.^_`|~0-9A-Za-z]+");
-    private static final Pattern TOKEN = Pattern.compile("[!-~]{1,128}");
+    private static final HttpString CLIENT_RETRY = new HttpString("X-Second-Try");
+    private static final Pattern PATH_PATTERN = Pattern.compile("/([^/]+)/([^/]+)/([^/]+)");
+    private static final Pattern HEX_NUMBER = Pattern.compile("[0-9a-fA-F]{16}");
+    private static final Pattern IO_INFO_ITEM =
+            Pattern.compile("(units|shard|hosts)=(-?[0-9.]{1,12})");
+    private static final Pattern CONTENT_LENGTH_VALUE = Pattern.compile("[0-9]{1,18}");
+    private static final Pattern HEADER_NAME = Pattern.compile("[-!#$%&'*+.^_`|~0-9A-Za-z]+");
+    private static final Pattern PRINTABLE_TOKEN = Pattern.compile("[!-~]{1,128}");
+
+    /**
+     * Upper bound of the time that is held back from a client's, so that the last byte of the
+     * response arrives before the client stops waiting.
+     */
+    private static final Duration MAX_MARGIN = Duration.ofMillis(30);
 
     /**
-     * Kept back of the client's time, so that the answer's last byte comes before it runs out: so
-     * much at most, and no more than a part. Guards against clients of little patience losing half
-     * of it here.
+     * The margin is no more than this part of the client's time, as otherwise a client with a short
+     * time would lose half of it.
      */
-    private static final Duration MARGIN = Duration.ofMillis(30);
+    private static final int MARGIN_DIVISOR = 8;
 
-    private static final int MARGIN_PART = 8;
-    private static final long MOST_MS = Duration.ofHours(1).toMillis();
+    /** Largest value that is accepted in the header X-Expires-In-Ms. */
+    private static final long MAX_EXPIRES_IN_MILLIS = Duration.ofHours(1).toMillis();
 
-    private final Map<String, Integer> classes = new HashMap<>();
-    private final Map<String, Integer> plans = new HashMap<>();
-    private final long longestMs;
+    private final Map<String, Integer> classIndexes = new HashMap<>();
+    private final Map<String, Integer> planIndexes = new HashMap<>();
+    private final long maxDeadlineMillis;
 
-    /** A request that is not passed on, and the status that says why. */
-    static final class Rejected extends Exception {
+    /** Thrown for a request that is not forwarded; its message is the body of the response. */
+    static final class RejectedRequestException extends Exception {
         private static final long serialVersionUID = 1L;
-        private final int status;
+        private final int status; // HTTP status code
 
-        Rejected(int status, String why) {
+        RejectedRequestException(int status, String why) {
             super(why);
             this.status = status;
         }
@@ -64,131 +78,153 @@
 
     RequestParser(Settings settings) {
         for (RequestClass type : settings.classes()) {
-            classes.put(type.name(), classes.size());
+            classIndexes.put(type.name(), classIndexes.size());
         }
-        longestMs =
+        maxDeadlineMillis =
                 settings.classes().stream()
                         .map(RequestClass::deadlineUs)
                         .map(Micros::toDuration)
                         .mapToLong(Duration::toMillis)
                         .max()
-                        .orElse(MOST_MS);
+                        .orElse(MAX_EXPIRES_IN_MILLIS);
         for (Plan plan : settings.plans()) {
-            plans.put(plan.name(), plans.size());
+            planIndexes.put(plan.name(), planIndexes.size());
         }
     }
 
+    /**
+     * Parses the head of a request.
+     *
+     * @param path the path without the query
+     * @param arrived when the client's time started
+     * @throws RejectedRequestException where the request is not valid
+     */
     IoRequest parse(String method, String path, HeaderMap headers, Instant arrived)
-            throws Rejected {
-        Matcher parts = PATH.matcher(path);
-        if (!parts.matches() || !classes.containsKey(parts.group(1))) {
-            throw new Rejected(404, "no such path");
+            throws RejectedRequestException {
+        Matcher pathMatcher = PATH_PATTERN.matcher(path);
+        if (!pathMatcher.matches() || !classIndexes.containsKey(pathMatcher.group(1))) {
+            throw new RejectedRequestException(404, "no such path");
         }
         if (!method.equals("GET") && !method.equals("PUT")) {
-            throw new Rejected(405, "neither GET nor PUT");
+            throw new RejectedRequestException(405, "neither GET nor PUT");
         }
-        Integer plan = plans.get(header(headers, TIER));
+        Integer plan = planIndexes.get(header(headers, TIER));
         if (plan == null) {
-            throw new Rejected(400, "Tier names no plan");
+            throw new RejectedRequestException(400, "Tier names no plan");
         }
-        if (!TOKEN.matcher(header(headers, TRACE_ID)).matches()) {
-            throw new Rejected(400, "X-Trace-Id is not usable");
+        if (!PRINTABLE_TOKEN.matcher(header(headers, TRACE_ID)).matches()) {
+            throw new RejectedRequestException(400, "X-Trace-Id is not usable");
         }
-        framing(method, headers);
-        if (headers.count(KEY) > 1) { // which of two keys a node would drop repeats by is not plain
-            throw new Rejected(400, KEY + " is there twice");
+        checkFraming(method, headers);
+        if (headers.count(IDEMPOTENCY_KEY) > 1) { // which one a node deduplicates by is unclear
+            throw new RejectedRequestException(400, IDEMPOTENCY_KEY + " is there twice");
         }
-        Map<String, Float> info = info(header(headers, IO_INFO));
-        // No client holds a request open for longer than any class lets it.
-        long left = Math.min(longestMs, whole(header(headers, EXPIRES)));
+        Map<String, Float> ioInfo = parseIoInfo(header(headers, IO_INFO));
+        // A request stays open no longer than the longest deadline of any class.
+        long remainingMillis =
+                Math.min(maxDeadlineMillis, parseExpiryMillis(header(headers, EXPIRES_IN_MS)));
         return new IoRequest(
-                info.get("shard").intValue(),
-                classes.get(parts.group(1)),
+                ioInfo.get("shard").intValue(),
+                classIndexes.get(pathMatcher.group(1)),
                 plan,
-                info.get("hosts").intValue(),
-                "1".equals(headers.getFirst(SECOND_TRY)),
+                ioInfo.get("hosts").intValue(),
+                "1".equals(headers.getFirst(CLIENT_RETRY)),
                 method.equals("PUT"),
-                hex(parts.group(2)),
-                hex(parts.group(3)),
-                info.get("units"),
-                arrived.plusMillis(left - Math.min(MARGIN.toMillis(), left / MARGIN_PART)),
-                token(headers.getFirst(KEY)));
+                parseHex(pathMatcher.group(2)),
+                parseHex(pathMatcher.group(3)),
+                ioInfo.get("units"),
+                arrived.plusMillis(
+                        remainingMillis
+                                - Math.min(
+                                        MAX_MARGIN.toMillis(), remainingMillis / MARGIN_DIVISOR)),
+                hashKey(headers.getFirst(IDEMPOTENCY_KEY)));
     }
 
-    /** A number that stands for a key, by FNV-1a of 64 bits; 0 for none. */
-    private static long token(String key) {
+    /**
+     * Hashes an idempotency key by 64-bit FNV-1a; 0 stands for no key, and is never a key's hash.
+     */
+    private static long hashKey(String key) {
         if (key == null) {
             return 0;
         }
-        long hash = FNV_BASIS;
+        long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < key.length(); i++) {
             hash = (hash ^ key.charAt(i)) * FNV_PRIME;
         }
         return hash == 0 ? 1 : hash;
     }
 
-    /** Where a body ends must be plain: a request that can be read in two ways may hide another. */
-    private static void framing(String method, HeaderMap headers) throws Rejected {
-        boolean chunked = headers.contains(Headers.TRANSFER_ENCODING);
-        boolean told = headers.contains(Headers.CONTENT_LENGTH);
-        if (chunked
-                        && (told
+    /**
+     * Rejects requests whose body length is ambiguous, as one that can be read in two ways may hide
+     * another (request smuggling; RFC 9112, section 6.3).
+     */
+    private static void checkFraming(String method, HeaderMap headers)
+            throws RejectedRequestException {
+        boolean isChunked = headers.contains(Headers.TRANSFER_ENCODING);
+        boolean hasLength = headers.contains(Headers.CONTENT_LENGTH);
+        if (isChunked
+                        && (hasLength
                                 || !"chunked"
                                         .equalsIgnoreCase(
                                                 header(headers, Headers.TRANSFER_ENCODING)))
-                || told && !LENGTH.matcher(header(headers, Headers.CONTENT_LENGTH)).matches()) {
-            throw new Rejected(400, "the body's end is not plain");
+                || hasLength
+                        && !CONTENT_LENGTH_VALUE
+                                .matcher(header(headers, Headers.CONTENT_LENGTH))
+                                .matches()) {
+            throw new RejectedRequestException(400, "the body's end is not plain");
         }
         if (method.equals("GET")
-                && (chunked || told && !"0".equals(headers.getFirst(Headers.CONTENT_LENGTH)))) {
-            throw new Rejected(400, "a GET with a body");
+                && (isChunked
+                        || hasLength && !"0".equals(headers.getFirst(Headers.CONTENT_LENGTH)))) {
+            throw new RejectedRequestException(400, "a GET with a body");
         }
         for (HeaderValues header : headers) {
-            if (!NAME.matcher(header.getHeaderName().toString()).matches()) {
-                throw new Rejected(400, "a header has no usable name");
+            if (!HEADER_NAME.matcher(header.getHeaderName().toString()).matches()) {
+                throw new RejectedRequestException(400, "a header has no usable name");
             }
         }
     }
 
-    private static String header(HeaderMap headers, HttpString name) throws Rejected {
+    private static String header(HeaderMap headers, HttpString name)
+            throws RejectedRequestException {
         if (headers.count(name) != 1) {
-            throw new Rejected(400, name + " is missing or there twice");
+            throw new RejectedRequestException(400, name + " is missing or there twice");
         }
         return headers.getFirst(name);
     }
 
-    private static long hex(String text) throws Rejected {
-        if (!HEX.matcher(text).matches()) {
-            throw new Rejected(400, "not 16 hexadecimal digits in the path");
+    private static long parseHex(String text) throws RejectedRequestException {
+        if (!HEX_NUMBER.matcher(text).matches()) {
+            throw new RejectedRequestException(400, "not 16 hexadecimal digits in the path");
         }
         return Long.parseUnsignedLong(text, 16);
     }
 
-    private static long whole(String text) throws Rejected {
-        if (!text.matches("[0-9]{1,9}") || Long.parseLong(text) > MOST_MS) {
-            throw new Rejected(400, "X-Expires-In-Ms is not usable");
+    private static long parseExpiryMillis(String text) throws RejectedRequestException {
+        if (!text.matches("[0-9]{1,9}") || Long.parseLong(text) > MAX_EXPIRES_IN_MILLIS) {
+            throw new RejectedRequestException(400, "X-Expires-In-Ms is not usable");
         }
         return Long.parseLong(text);
     }
 
-    private static Map<String, Float> info(String text) throws Rejected {
-        Map<String, Float> info = new HashMap<>();
+    private static Map<String, Float> parseIoInfo(String text) throws RejectedRequestException {
+        Map<String, Float> ioInfo = new HashMap<>();
         try {
             for (String item : text.split(",")) {
-                Matcher pair = INFO.matcher(item.trim());
+                Matcher pair = IO_INFO_ITEM.matcher(item.trim());
                 if (pair.matches()) {
-                    info.put(pair.group(1), Float.parseFloat(pair.group(2)));
+                    ioInfo.put(pair.group(1), Float.parseFloat(pair.group(2)));
                 }
             }
-        } catch (NumberFormatException notANumber) {
-            throw new Rejected(400, "IO-Info holds no number");
+        } catch (NumberFormatException invalid) {
+            throw new RejectedRequestException(400, "IO-Info holds no number");
         }
-        if (info.size() != 3
-                || info.get("units") <= 0
-                || info.get("hosts") < 1
-                || info.get("shard") < -1) {
-            throw new Rejected(400, "IO-Info must tell units, shard and hosts");
+        if (ioInfo.size() != 3
+                || ioInfo.get("units") <= 0
+                || ioInfo.get("hosts") < 1
+                || ioInfo.get("shard") < -1) {
+            throw new RejectedRequestException(400, "IO-Info must tell units, shard and hosts");
         }
-        return info;
+        return ioInfo;
     }
 }
--- a/src/main/java/cypressglade/http/ResponseBody.java
+++ b/src/main/java/cypressglade/http/ResponseBody.java
@@ -4,26 +4,35 @@
 import java.util.Arrays;
 
 /**
- * The body of an answer as it comes; made to its length at once where that is told. Its reader
- * bounds it.
+ * Collects the body of a response in one array, which is allocated in full at once where the length
+ * is known. Does not limit the size: its user does. Not safe for use by several threads.
  */
 final class ResponseBody {
-    private static final int FIRST = 4096;
+    private static final int INITIAL_CAPACITY_BYTES = 4096;
 
     private byte[] bytes = {};
     private int size;
 
-    /** Takes a part of a body of the given length, or of -1 where none is told. */
-    void append(ByteBuffer part, long told) {
-        int wanted = size + part.remaining();
-        if (wanted > bytes.length) {
-            bytes = Arrays.copyOf(bytes, told >= wanted ? (int) told : Math.max(FIRST, 2 * wanted));
+    /**
+     * Appends the remaining bytes of a fragment.
+     *
+     * @param contentLength length of the whole body in bytes, -1 where it is not known
+     */
+    void append(ByteBuffer fragment, long contentLength) {
+        int required = size + fragment.remaining();
+        if (required > bytes.length) {
+            bytes =
+                    Arrays.copyOf(
+                            bytes,
+                            contentLength >= required
+                                    ? (int) contentLength
+                                    : Math.max(INITIAL_CAPACITY_BYTES, 2 * required));
         }
-        part.get(bytes, size, part.remaining());
-        size = wanted;
+        fragment.get(bytes, size, fragment.remaining());
+        size = required;
     }
 
-    /** What it takes of the heap. */
+    /** Bytes of heap that are allocated for the body, at least its size. */
     int capacity() {
         return bytes.length;
     }
--- a/src/main/java/cypressglade/http/TraceIds.java
+++ b/src/main/java/cypressglade/http/TraceIds.java
@@ -8,42 +8,46 @@
 import java.util.Map;
 
 /**
- * The ids of requests that are open or whose attempts may still run. Another request under one of
- * them would be a second copy at the node, whoever sends it. Bounded, and the I/O thread's alone.
+ * The trace ids of requests that are open or whose attempts may still run at a node. To a node,
+ * another request under one of them would be a second copy, whoever sends it. The table is bounded.
+ * Used on the I/O thread only.
  */
 final class TraceIds {
-    private static final int MOST = 8192;
+    private static final int MAX_IDS = 8192;
 
-    /** A node may begin a request until the time that it was told is over. */
-    private static final Duration KEPT = Duration.ofMillis(500);
+    /**
+     * How long an id is kept after its request expired: a node may begin a request until the time
+     * that it was sent with is over.
+     */
+    private static final Duration RETENTION = Duration.ofMillis(500);
 
-    private final Map<String, Instant> until = new LinkedHashMap<>();
+    private final Map<String, Instant> keptUntil = new LinkedHashMap<>();
 
     /**
-     * Notes an id until its request's time is over; false where it is known. Where there is no room
-     * the oldest makes way: with deadlines of 20 s, 400 requests a second fill the table, and none
-     * may be turned down for that.
+     * Registers an id until its request has expired; returns false where it is registered already.
+     * When the table is full, the oldest entry is dropped: with deadlines of 20 s, 400 requests a
+     * second fill it, and none may be rejected for that.
      */
-    boolean take(String id, Instant expiry) {
-        if (until.putIfAbsent(id, expiry.plus(KEPT)) != null) {
+    boolean register(String id, Instant expiry) {
+        if (keptUntil.putIfAbsent(id, expiry.plus(RETENTION)) != null) {
             return false;
         }
-        if (until.size() > MOST) {
-            Iterator<String> oldest = until.keySet().iterator();
+        if (keptUntil.size() > MAX_IDS) {
+            Iterator<String> oldest = keptUntil.keySet().iterator();
             oldest.next();
             oldest.remove();
         }
         return true;
     }
 
-    /** Gives back the id of a request that went to no node. */
+    /** Removes the id of a request that was sent to no node, so that it may be used again. */
     void release(String id) {
-        until.remove(id);
+        keptUntil.remove(id);
     }
 
-    /** Drops what is over. */
-    void sweep() {
+    /** Removes the ids whose time is over. */
+    void removeExpired() {
         Instant now = MonotonicClock.now();
-        until.values().removeIf(end -> end.isBefore(now));
+        keptUntil.values().removeIf(end -> end.isBefore(now));
     }
 }
--- a/src/main/java/cypressglade/http/WatchedSourceConduit.java
+++ b/src/main/java/cypressglade/http/WatchedSourceConduit.java
@@ -7,96 +7,105 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * What comes from a client: tells of bytes that are read, whoever reads them, and looks at what has
- * come without taking it. A timer may run before the events that came with it are heard of, by as
- * long as the process was held up: whoever is about to close a connection, or to act for its
- * client, must look first.
+ * Reports reads from a connection, whoever makes them, and can peek at the input without consuming
+ * it. Peeking is needed because a timer may run before the events of input that arrived earlier, by
+ * as long as the process was held up: code that is about to close a connection, or to act for its
+ * client, must check for unread input first. Used on the I/O thread only.
  */
 final class WatchedSourceConduit extends AbstractStreamSourceConduit<StreamSourceConduit> {
-    private static final int MOST_AHEAD = 4 * 1024;
+    private static final int MAX_PEEKED_BYTES = 4 * 1024;
 
     private final StreamConnection connection;
-    private final Runnable heard;
-    private ByteBuffer ahead = ByteBuffer.allocate(0); // looked at, and not read yet
+    private final Runnable onBytesRead;
+    private ByteBuffer peeked = ByteBuffer.allocate(0); // taken from the socket, and not read yet
 
-    /** What has come and was not read yet. */
-    enum Ahead {
+    /** What {@link #peek} found. */
+    enum Input {
+        /** No input has arrived that was not read. */
         NOTHING,
+        /** Unread bytes have arrived. */
         BYTES,
+        /** The client has shut down its side, or the connection is broken. */
         END
     }
 
-    private WatchedSourceConduit(StreamConnection connection, Runnable heard) {
+    private WatchedSourceConduit(StreamConnection connection, Runnable onBytesRead) {
         super(connection.getSourceChannel().getConduit());
         this.connection = connection;
-        this.heard = heard;
+        this.onBytesRead = onBytesRead;
     }
 
-    /** Stands between a connection and its readers from now on. */
-    static WatchedSourceConduit on(StreamConnection connection, Runnable heard) {
-        WatchedSourceConduit watched = new WatchedSourceConduit(connection, heard);
+    /** Installs a conduit on a connection; {@code onBytesRead} runs after each read of bytes. */
+    static WatchedSourceConduit install(StreamConnection connection, Runnable onBytesRead) {
+        WatchedSourceConduit watched = new WatchedSourceConduit(connection, onBytesRead);
         connection.getSourceChannel().setConduit(watched);
         return watched;
     }
 
-    /** Looks at the socket now; what is there is read next, and its reader is called for it. */
-    Ahead look() {
-        if (!ahead.hasRemaining()) {
-            ByteBuffer fresh = ByteBuffer.allocate(MOST_AHEAD);
+    /**
+     * Checks the socket for input now. Bytes that it finds are returned by the next read, and the
+     * read listener is called for them.
+     */
+    Input peek() {
+        if (!peeked.hasRemaining()) {
+            ByteBuffer buffer = ByteBuffer.allocate(MAX_PEEKED_BYTES);
             try {
-                int got = next.read(fresh);
-                if (got <= 0) {
-                    return got == 0 ? Ahead.NOTHING : Ahead.END;
+                int count = next.read(buffer);
+                if (count <= 0) {
+                    return count == 0 ? Input.NOTHING : Input.END;
                 }
             } catch (IOException reset) {
-                return Ahead.END;
+                return Input.END;
             }
-            ahead = fresh.flip();
+            peeked = buffer.flip();
         }
         connection.getSourceChannel().wakeupReads();
-        return Ahead.BYTES;
+        return Input.BYTES;
     }
 
     @Override
-    public int read(ByteBuffer to) throws IOException {
-        return (int) heard(ahead.hasRemaining() ? takeAhead(to) : next.read(to));
+    public int read(ByteBuffer destination) throws IOException {
+        return (int)
+                reportRead(
+                        peeked.hasRemaining() ? readPeeked(destination) : next.read(destination));
     }
 
     @Override
-    public long read(ByteBuffer[] to, int offset, int length) throws IOException {
-        if (!ahead.hasRemaining()) {
-            return heard(next.read(to, offset, length));
+    public long read(ByteBuffer[] destinations, int offset, int length) throws IOException {
+        if (!peeked.hasRemaining()) {
+            return reportRead(next.read(destinations, offset, length));
         }
-        long taken = 0;
+        long count = 0;
         for (int i = offset; i < offset + length; i++) {
-            taken += takeAhead(to[i]);
+            count += readPeeked(destinations[i]);
         }
-        return heard(taken);
+        return reportRead(count);
     }
 
-    private int takeAhead(ByteBuffer to) {
-        int size = Math.min(ahead.remaining(), to.remaining());
-        to.put(ahead.slice(ahead.position(), size));
-        ahead.position(ahead.position() + size);
+    private int readPeeked(ByteBuffer destination) {
+        int size = Math.min(peeked.remaining(), destination.remaining());
+        destination.put(peeked.slice(peeked.position(), size));
+        peeked.position(peeked.position() + size);
         return size;
     }
 
     /**
-     * Calls the reader at once where something was looked at: the socket does not tell of it again.
+     * Calls the read listener at once where peeked bytes remain, as the socket does not report them
+     * again.
      */
     @Override
     public void resumeReads() {
-        if (ahead.hasRemaining()) {
+        if (peeked.hasRemaining()) {
             next.wakeupReads();
         } else {
             next.resumeReads();
         }
     }
 
-    private long heard(long got) {
-        if (got > 0) {
-            heard.run();
+    private long reportRead(long count) {
+        if (count > 0) {
+            onBytesRead.run();
         }
-        return got;
+        return count;
     }
 }
--- a/src/main/java/org/xnio/nio/Acceptor.java
+++ b/src/main/java/org/xnio/nio/Acceptor.java
@@ -10,34 +10,35 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Accepts connections of a bound channel on an XNIO I/O thread, in place of XNIO's own server: that
- * one waits after a failed accept for 250 ms, then 1, 4, 16 and 30 s, while clients that the
- * machine has accepted stand in the backlog. This one tries again every {@value #RETRY_MS} ms. It
- * is in XNIO's package since a connection of an accepted channel cannot be made from elsewhere. All
- * methods but {@link #close} are the I/O thread's.
+ * Accepts connections of a bound channel on an XNIO I/O thread. Replaces XNIO's own server, which
+ * pauses after a failed accept for 250 ms, then for 1, 4, 16 and 30 s, while clients whose
+ * connections the operating system has completed wait in the listen backlog. This class retries
+ * every {@value #RETRY_MILLIS} ms. It is in XNIO's package because the constructor of a connection
+ * for an accepted channel is package-private. All methods but {@link #close} must be called on the
+ * I/O thread.
  */
 public final class Acceptor {
-    private static final int RETRY_MS = 10;
+    private static final int RETRY_MILLIS = 10;
 
-    /** Accepted before others on the thread have their turn. */
-    private static final int MOST_AT_ONCE = 64;
+    /** Connections accepted in one go, before other tasks of the thread run. */
+    private static final int MAX_BATCH = 64;
 
     private final WorkerThread thread;
     private final ServerSocketChannel channel;
     private final Listener listener;
     private final Handle handle;
-    private int most = Integer.MAX_VALUE;
+    private int maxOpen = Integer.MAX_VALUE;
     private int open;
-    private boolean resumed;
-    private boolean waiting;
+    private boolean isResumed;
+    private boolean isRetryScheduled;
 
-    /** Hears what comes of it, on the I/O thread. */
+    /** Receives accepted connections and failures, on the I/O thread. */
     public interface Listener {
-        /** A connection was accepted; the hearer owns it. */
+        /** A connection was accepted; the listener owns it and must close it. */
         void accepted(StreamConnection connection);
 
-        /** The machine accepted none though one waits; it is tried again soon. */
-        void failed(IOException why);
+        /** Accepting a waiting connection failed; it is retried soon. */
+        void failed(IOException cause);
     }
 
     private final class Handle extends NioHandle {
@@ -47,7 +48,7 @@
 
         @Override
         void handleReady(int ops) {
-            acceptSome(MOST_AT_ONCE);
+            acceptSome(MAX_BATCH);
             update();
         }
 
@@ -61,8 +62,9 @@
     }
 
     /**
-     * Of a channel that is bound and does not block; accepts nothing before {@link #resume}.
+     * Creates an acceptor that accepts nothing before {@link #resume}.
      *
+     * @param channel a bound channel in non-blocking mode
      * @throws IOException where the channel is closed
      */
     public Acceptor(XnioIoThread thread, ServerSocketChannel channel, Listener listener)
@@ -75,46 +77,51 @@
         key.attach(handle);
     }
 
-    /** Accepts from now on. */
+    /** Starts accepting. */
     public void resume() {
-        resumed = true;
+        isResumed = true;
         update();
     }
 
     /**
-     * Accepts no more while so many connections are open; whoever comes then waits in the backlog.
+     * Sets how many accepted connections may be open at once. At that number accepting pauses, and
+     * further connections wait in the listen backlog.
      */
-    public void setMaxOpen(int mostOpen) {
-        most = mostOpen;
+    public void setMaxOpen(int maxOpen) {
+        this.maxOpen = maxOpen;
         update();
     }
 
     /**
-     * Accepts all that wait now, beyond the bound too: for the moment before the channel is closed.
+     * Accepts all connections that wait in the backlog, whatever {@link #setMaxOpen} allows. To be
+     * called just before {@link #close}, which resets those that still wait.
      */
     public void acceptWaiting() {
-        int before = most;
-        most = Integer.MAX_VALUE;
+        int previous = maxOpen;
+        maxOpen = Integer.MAX_VALUE;
         acceptSome(Integer.MAX_VALUE);
-        most = before;
+        maxOpen = previous;
     }
 
-    /** Gives the channel back; who waits in its backlog is reset. From any thread. */
+    /**
+     * Closes the channel, which resets connections that wait in its backlog; accepted ones stay
+     * open. May be called on any thread.
+     */
     public void close() {
         IoUtils.safeClose(channel);
         handle.cancelKey(false);
     }
 
     private void update() {
-        if (resumed && !waiting && open < most) {
+        if (isResumed && !isRetryScheduled && open < maxOpen) {
             handle.resume(SelectionKey.OP_ACCEPT);
         } else {
             handle.suspend(SelectionKey.OP_ACCEPT);
         }
     }
 
-    private void acceptSome(int atMost) {
-        for (int i = 0; i < atMost && open < most && channel.isOpen(); i++) {
+    private void acceptSome(int limit) {
+        for (int i = 0; i < limit && open < maxOpen && channel.isOpen(); i++) {
             SocketChannel accepted;
             try {
                 accepted = channel.accept();
@@ -125,7 +132,7 @@
             if (accepted == null) {
                 return;
             }
-            hand(accepted);
+            deliver(accepted);
         }
     }
 
@@ -133,28 +140,31 @@
         if (!channel.isOpen()) {
             return;
         }
-        if (!waiting) {
-            waiting = true;
+        if (!isRetryScheduled) {
+            isRetryScheduled = true;
             thread.executeAfter(
                     () -> {
-                        waiting = false;
-                        acceptSome(MOST_AT_ONCE);
+                        isRetryScheduled = false;
+                        acceptSome(MAX_BATCH);
                         update();
                     },
-                    RETRY_MS,
+                    RETRY_MILLIS,
                     TimeUnit.MILLISECONDS);
         }
         listener.failed(failed);
     }
 
-    /** One that broke before it could be used takes nobody else's turn. */
-    private void hand(SocketChannel accepted) {
+    /**
+     * Passes a connection to the listener. One that breaks before that is dropped and is no reason
+     * to stop accepting.
+     */
+    private void deliver(SocketChannel accepted) {
         StreamConnection connection;
         try {
             accepted.configureBlocking(false);
             accepted.socket().setTcpNoDelay(true);
             SelectionKey key = thread.registerChannel(accepted);
-            connection = new NioSocketStreamConnection(thread, key, this::closed);
+            connection = new NioSocketStreamConnection(thread, key, this::onConnectionClosed);
         } catch (IOException broken) {
             IoUtils.safeClose(accepted);
             return;
@@ -163,7 +173,7 @@
         listener.accepted(connection);
     }
 
-    private void closed() {
+    private void onConnectionClosed() {
         if (Thread.currentThread() == thread) {
             open--;
             update();
--- a/src/test/java/cypressglade/http/TraceIdsTest.java
+++ b/src/test/java/cypressglade/http/TraceIdsTest.java
@@ -7,25 +7,25 @@
 import java.time.Instant;
 import org.junit.jupiter.api.Test;
 
-/** Ids that must not be taken twice, in a bounded table. */
+/** The table of trace ids in use: an id is registered once, and the table is bounded. */
 class TraceIdsTest {
     private final TraceIds ids = new TraceIds();
-    private final Instant late = MonotonicClock.now().plus(Duration.ofSeconds(20));
+    private final Instant expiry = MonotonicClock.now().plus(Duration.ofSeconds(20));
 
     @Test
-    void anOpenIdIsNotTakenTwiceAndAReleasedOneIs() {
-        assertThat(ids.take("a", late)).isTrue();
-        assertThat(ids.take("a", late)).isFalse();
+    void idIsRegisteredOnceUntilItIsReleased() {
+        assertThat(ids.register("a", expiry)).isTrue();
+        assertThat(ids.register("a", expiry)).isFalse();
         ids.release("a");
-        assertThat(ids.take("a", late)).isTrue();
+        assertThat(ids.register("a", expiry)).isTrue();
     }
 
-    /** Guards against requests turned down since others with long deadlines fill the table. */
+    /** Guards against rejecting requests because others with long deadlines fill the table. */
     @Test
-    void aFullTableTurnsNobodyDown() {
+    void fullTableAcceptsNewIds() {
         for (int i = 0; i < 20_000; i++) {
-            assertThat(ids.take("id" + i, late)).isTrue();
+            assertThat(ids.register("id" + i, expiry)).isTrue();
         }
-        assertThat(ids.take("id19999", late)).as("the newest are known").isFalse();
+        assertThat(ids.register("id19999", expiry)).as("the newest id is registered").isFalse();
     }
 }
