--- a/src/main/java/cypressglade/http/ClientConnection.java
+++ b/src/main/java/cypressglade/http/ClientConnection.java
@@ -13,7 +13,10 @@
     final LingeringClose lingeringClose;
     private final WatchedSourceConduit source;
 
-    /** Start of the current phase: of being idle, of receiving a request, or of writing. */
+    /**
+     * Start of the current phase: of being idle, of receiving a request, or of writing a response.
+     * The time of the connect until the first response starts.
+     */
     Instant since = MonotonicClock.now();
 
     /** Part of a request's head has arrived. */
--- a/src/main/java/cypressglade/http/ClientListener.java
+++ b/src/main/java/cypressglade/http/ClientListener.java
@@ -62,7 +62,9 @@
  * {@link #accept} must be called on it. A request's own task may run on another thread.
  */
 public final class ClientListener implements AutoCloseable {
+    /** Longest request body; a longer one is answered with 413. */
     private static final int MAX_BODY_BYTES = 64 * 1024;
+
     private static final int MAX_HEAD_BYTES = 16 * 1024;
     private static final int BUFFER_BYTES = 4 * 1024;
 
@@ -76,15 +78,17 @@
     private static final int WRITE_CHUNK_BYTES = 64 * 1024;
 
     /**
-     * Time after which a connection without an open request is closed. The clients' protocol allows
-     * the close after 2 s, and requires it within 3 s where the peer is no real client.
+     * Time after which a connection without an open request is closed. The platform's protocol
+     * allows the close after 2 s, and requires it within 3 s where the peer is no real client.
      */
     private static final Duration IDLE_TIMEOUT = Duration.ofMillis(2200);
 
     /** Time for a client to read its response; longer than any deadline. */
     private static final Duration WRITE_TIMEOUT = Duration.ofSeconds(7);
 
+    /** Time for a request body to arrive, counted from {@link ClientConnection#since}. */
     private static final Duration RECEIVE_TIMEOUT = Duration.ofSeconds(2);
+
     private static final Duration SWEEP_INTERVAL = Duration.ofMillis(200);
     private static final Duration CROWDED_SWEEP_INTERVAL = Duration.ofMillis(20);
 
@@ -137,7 +141,7 @@
     private final Optional<ConnectionPacer> connectionPacer;
     private int acceptedSinceUpdate; // connections, since the pacer was last updated
     private int servedLimit = Integer.MAX_VALUE; // connections, by the lateness of this thread
-    private int acceptedLimit = Integer.MAX_VALUE; // connections, as the acceptor was last told
+    private int acceptedLimit = Integer.MAX_VALUE; // connections, as last set at the acceptor
     private Instant latestDeadline = Instant.MAX; // of requests that arrive from now on
     private boolean isDraining;
     private boolean hasStoppedAccepting;
@@ -463,7 +467,10 @@
                 .forEach(this::releaseConnection);
     }
 
-    /** Releases all that is accounted to a connection. Has no effect where that was done before. */
+    /**
+     * Releases all that is accounted to a connection; only here is a connection removed. Has no
+     * effect where that was done before.
+     */
     private void releaseConnection(ClientConnection client) {
         releaseReceiving(client);
         setOpenBodyBytes(client, 0);
@@ -474,7 +481,7 @@
         }
     }
 
-    private ClientConnection client(HttpServerExchange exchange) {
+    private ClientConnection clientOf(HttpServerExchange exchange) {
         StreamConnection connection =
                 ((HttpServerConnection) exchange.getConnection()).getChannel();
         return clients.computeIfAbsent(
@@ -486,14 +493,14 @@
     }
 
     /** Returns the trace id that the client sent, for the log. */
-    private static String id(HttpServerExchange exchange) {
+    private static String traceId(HttpServerExchange exchange) {
         String id = exchange.getRequestHeaders().getFirst(RequestParser.TRACE_ID);
         return id == null ? RequestLog.NO_ID : id;
     }
 
     private void handle(HttpServerExchange exchange) {
         Instant arrived = MonotonicClock.now();
-        ClientConnection client = client(exchange);
+        ClientConnection client = clientOf(exchange);
         client.isReceivingHead = false;
         if (client.wasAnswered) { // the first request's time counts from the connect
             client.since = arrived;
@@ -565,7 +572,7 @@
                             } else {
                                 counters.add(Name.MALFORMED);
                                 requestLog.record(
-                                        id(same),
+                                        traceId(same),
                                         RequestLog.Event.MALFORMED,
                                         "its body broke off: " + failure);
                                 IoUtils.safeClose(same.getConnection());
@@ -585,7 +592,7 @@
 
         BodyReceipt(HttpServerExchange exchange, Instant expiry) {
             this.exchange = exchange;
-            client = client(exchange);
+            client = clientOf(exchange);
             boolean isComplete = exchange.isRequestComplete();
             if (!isComplete) {
                 counters.add(Name.BODIES_AWAITED);
@@ -624,7 +631,7 @@
             if (end()) {
                 counters.add(Name.REFUSED_NO_ROOM);
                 requestLog.record(
-                        id(exchange),
+                        traceId(exchange),
                         RequestLog.Event.REFUSED,
                         "no room for its body, or it did not come in time");
                 answer(exchange, 503, new byte[0]);
@@ -654,7 +661,7 @@
         ExchangeResponder responder = new ExchangeResponder(exchange);
         RequestTask<NodeRequest> task =
                 new RequestTask<>(engine, counters, request, nodeRequest, responder, link);
-        ClientConnection client = client(exchange);
+        ClientConnection client = clientOf(exchange);
         if (body.length > budget.bodyBytes() - openBodyBytes) {
             counters.add(Name.REFUSED_NO_ROOM);
             requestLog.record(
@@ -691,9 +698,9 @@
 
     private void handleDisconnect(HttpServerExchange exchange) {
         counters.add(Name.GONE);
-        requestLog.record(id(exchange), RequestLog.Event.GONE, "its client left");
+        requestLog.record(traceId(exchange), RequestLog.Event.GONE, "its client left");
         IoUtils.safeClose(exchange.getConnection());
-        releaseConnection(client(exchange));
+        releaseConnection(clientOf(exchange));
     }
 
     /**
@@ -702,7 +709,7 @@
      */
     private boolean hasDisconnected(HttpServerExchange exchange) {
         HttpServerConnection connection = (HttpServerConnection) exchange.getConnection();
-        ClientConnection client = client(exchange);
+        ClientConnection client = clientOf(exchange);
         setPipelinedBytes(connection, client); // Undertow may have left some of what it read
         while (client.pipelinedBytes < MAX_PIPELINED_BYTES
                 && receivingBytes <= budget.receivingBytes()) {
@@ -747,19 +754,21 @@
         setPipelinedBytes(client, kept == null ? 0 : kept.getBuffer().remaining());
     }
 
-    /** Sets the bytes of pipelined requests that are accounted to a connection. */
+    /** Sets the accounted bytes of pipelined requests; only here are they changed. */
     private void setPipelinedBytes(ClientConnection client, int bytes) {
         receivingBytes += bytes - client.pipelinedBytes;
         client.pipelinedBytes = bytes;
     }
 
-    /** Sets the bytes of the open request's body that are accounted to a connection. */
+    /** Sets the accounted bytes of the open request's body; only here are they changed. */
     private void setOpenBodyBytes(ClientConnection client, int bytes) {
         openBodyBytes += bytes - client.openBodyBytes;
         client.openBodyBytes = bytes;
     }
 
-    /** Releases the bytes that are reserved for a body that arrives. */
+    /**
+     * Releases the bytes that are reserved for a body that arrives; only here are they released.
+     */
     private void releaseReceiving(ClientConnection client) {
         receivingBytes -= client.receivingBytes;
         client.receivingBytes = 0;
@@ -768,12 +777,12 @@
     /** Answers a malformed request, and closes its connection after that. */
     private void reject(HttpServerExchange exchange, int status, String why) {
         counters.add(Name.MALFORMED);
-        requestLog.record(id(exchange), RequestLog.Event.MALFORMED, why);
+        requestLog.record(traceId(exchange), RequestLog.Event.MALFORMED, why);
         exchange.setPersistent(false);
         answer(exchange, status, (why + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Releases the bytes of a response. */
+    /** Releases the bytes of a response; only here are they released. */
     private void releaseResponse(ClientConnection client) {
         responseBytes -= client.responseBytes;
         client.responseBytes = 0;
@@ -784,7 +793,7 @@
      * no memory left.
      */
     private void answer(HttpServerExchange exchange, int status, byte[] body) {
-        ClientConnection client = client(exchange);
+        ClientConnection client = clientOf(exchange);
         if (!client.connection.isOpen()) { // the client left a moment ago
             releaseConnection(client);
             return;
@@ -792,7 +801,7 @@
         // Clients that do not read their responses may occupy all of the memory for them.
         if (body.length > budget.answerBytes() - responseBytes) {
             requestLog.record(
-                    id(exchange),
+                    traceId(exchange),
                     RequestLog.Event.FAILED,
                     "no room for its answer of " + body.length + " bytes");
             answer(exchange, 502, new byte[0]);
@@ -874,7 +883,10 @@
         return ByteBuffer.wrap(head.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Answers one exchange; its methods may be called on any thread but the first. */
+    /**
+     * Answers one exchange, from any thread. Whether the client is connected may be asked on the
+     * I/O thread only.
+     */
     private final class ExchangeResponder implements Responder {
         private final HttpServerExchange exchange;
 
@@ -889,7 +901,7 @@
 
         @Override
         public String requestId() {
-            return ClientListener.id(exchange);
+            return ClientListener.traceId(exchange);
         }
 
         @Override
--- a/src/main/java/cypressglade/http/RequestParser.java
+++ b/src/main/java/cypressglade/http/RequestParser.java
@@ -29,7 +29,6 @@
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
 
     private static final long FNV_PRIME = 0x100000001b3L;
-
     private static final HttpString TIER = new HttpString("Tier");
     private static final HttpString EXPIRES_IN_MS = new HttpString("X-Expires-In-Ms");
     private static final HttpString IO_INFO = new HttpString("IO-Info");
@@ -61,7 +60,10 @@
     private final Map<String, Integer> planIndexes = new HashMap<>();
     private final long maxDeadlineMillis;
 
-    /** Thrown for a request that is not forwarded; its message is the body of the response. */
+    /**
+     * Thrown for a request that is not forwarded, with the status to answer with; its message is
+     * the body of the response.
+     */
     static final class RejectedRequestException extends Exception {
         private static final long serialVersionUID = 1L;
         private final int status; // HTTP status code
@@ -108,21 +110,22 @@
         if (!method.equals("GET") && !method.equals("PUT")) {
             throw new RejectedRequestException(405, "neither GET nor PUT");
         }
-        Integer plan = planIndexes.get(header(headers, TIER));
+        Integer plan = planIndexes.get(singleHeader(headers, TIER));
         if (plan == null) {
             throw new RejectedRequestException(400, "Tier names no plan");
         }
-        if (!PRINTABLE_TOKEN.matcher(header(headers, TRACE_ID)).matches()) {
+        if (!PRINTABLE_TOKEN.matcher(singleHeader(headers, TRACE_ID)).matches()) {
             throw new RejectedRequestException(400, "X-Trace-Id is not usable");
         }
         checkFraming(method, headers);
         if (headers.count(IDEMPOTENCY_KEY) > 1) { // which one a node deduplicates by is unclear
             throw new RejectedRequestException(400, IDEMPOTENCY_KEY + " is there twice");
         }
-        Map<String, Float> ioInfo = parseIoInfo(header(headers, IO_INFO));
+        Map<String, Float> ioInfo = parseIoInfo(singleHeader(headers, IO_INFO));
         // A request stays open no longer than the longest deadline of any class.
         long remainingMillis =
-                Math.min(maxDeadlineMillis, parseExpiryMillis(header(headers, EXPIRES_IN_MS)));
+                Math.min(
+                        maxDeadlineMillis, parseExpiryMillis(singleHeader(headers, EXPIRES_IN_MS)));
         return new IoRequest(
                 ioInfo.get("shard").intValue(),
                 classIndexes.get(pathMatcher.group(1)),
@@ -166,10 +169,10 @@
                         && (hasLength
                                 || !"chunked"
                                         .equalsIgnoreCase(
-                                                header(headers, Headers.TRANSFER_ENCODING)))
+                                                singleHeader(headers, Headers.TRANSFER_ENCODING)))
                 || hasLength
                         && !CONTENT_LENGTH_VALUE
-                                .matcher(header(headers, Headers.CONTENT_LENGTH))
+                                .matcher(singleHeader(headers, Headers.CONTENT_LENGTH))
                                 .matches()) {
             throw new RejectedRequestException(400, "the body's end is not plain");
         }
@@ -185,7 +188,8 @@
         }
     }
 
-    private static String header(HeaderMap headers, HttpString name)
+    /** Returns the value of a header that must be there exactly once. */
+    private static String singleHeader(HeaderMap headers, HttpString name)
             throws RejectedRequestException {
         if (headers.count(name) != 1) {
             throw new RejectedRequestException(400, name + " is missing or there twice");
--- a/src/test/java/cypressglade/http/ServeTest.java
+++ b/src/test/java/cypressglade/http/ServeTest.java
@@ -636,7 +636,7 @@
                                         + "a".repeat(10_000)
                                         + "\r\n1\r\nb\r\n0\r\n\r\n"));
         assertThat(read().body()).isEqualTo("a".repeat(10_000) + "b");
-        // Such bodies occur, although the protocol allows 64 KiB.
+        // Such bodies occur, although 64 KiB is the announced maximum.
         node.script(answer(200, "", "x".repeat(400_000)));
         assertThat(read().body()).isEqualTo("x".repeat(400_000));
         node.script(answer(200, "", "x".repeat(2_100_000)));
