--- a/src/main/java/cypressglade/cli/Rehearsal.java
+++ b/src/main/java/cypressglade/cli/Rehearsal.java
@@ -13,9 +13,9 @@
 import cypressglade.core.Scheduler.State;
 import cypressglade.http.ClientListener;
 import cypressglade.http.NodeClient;
-import cypressglade.net.Loop;
+import cypressglade.net.Connection;
+import cypressglade.net.EventLoop;
 import cypressglade.net.NodePool;
-import cypressglade.net.Wire;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -145,7 +145,7 @@
                             config.budget(),
                             Optional.empty());
             for (int i = 0; i < LANES; i++) {
-                loop.execute(() -> new Lane(loop.pipe(clients::accept)));
+                loop.execute(() -> new Lane(loop.openPipe(clients::accept)));
             }
             if (!lanes.await(MOST.toMillis(), TimeUnit.MILLISECONDS)) {
                 timeIsUp = true;
@@ -158,15 +158,15 @@
     }
 
     /** Dials nobody: each connection is a pipe to a node that answers at once. */
-    private static final class PipeLoop extends Loop {
+    private static final class PipeLoop extends EventLoop {
         PipeLoop() throws IOException {}
 
         @Override
-        public Dial dial(InetSocketAddress address, Consumer<Wire> up, Runnable down) {
+        public Dial connect(InetSocketAddress address, Consumer<Connection> up, Runnable down) {
             execute(
                     () -> {
-                        Wire[] ends = wires();
-                        ends[0].listen(new Answering(ends[0]));
+                        Connection[] ends = connectedPair();
+                        ends[0].readInto(new Answering(ends[0]));
                         up.accept(ends[1]);
                     });
             return () -> {};
@@ -174,7 +174,7 @@
     }
 
     /** Bytes in, an answer out, for as long as the other side goes on. */
-    private record Answering(Wire wire) implements Wire.Listener {
+    private record Answering(Connection wire) implements Connection.Listener {
         @Override
         public void received(ByteBuffer in) {
             wire.send(ByteBuffer.wrap(ANSWER));
@@ -187,12 +187,12 @@
     }
 
     /** One client: the next request when the last is answered. */
-    private final class Lane implements Wire.Listener {
-        private final Wire wire;
+    private final class Lane implements Connection.Listener {
+        private final Connection wire;
 
-        Lane(Wire wire) {
+        Lane(Connection wire) {
             this.wire = wire;
-            wire.listen(this);
+            wire.readInto(this);
             ask();
         }
 
--- a/src/main/java/cypressglade/cli/Serve.java
+++ b/src/main/java/cypressglade/cli/Serve.java
@@ -17,7 +17,7 @@
 import cypressglade.member.Member;
 import cypressglade.nbd.NbdListener;
 import cypressglade.nbd.NbdNodeLink;
-import cypressglade.net.Loop;
+import cypressglade.net.EventLoop;
 import cypressglade.net.NodePool;
 import cypressglade.operate.HandDrains;
 import cypressglade.peer.Peers;
@@ -73,7 +73,7 @@
     private volatile Config config;
     private volatile OperatorFiles files;
     private final Counters counters = new Counters();
-    private final Loop loop;
+    private final EventLoop loop;
     private final Engine engine;
     private final RequestPool pool;
     private final ClientListener clients;
@@ -96,7 +96,7 @@
     public Serve(Config config, OperatorFiles files) throws IOException {
         this.config = config;
         this.files = files;
-        loop = new Loop();
+        loop = new EventLoop();
         NodeDirectory directory = new NodeDirectory();
         engine = new Engine(config.settings(), directory, counters, files.storms());
         doubts = files.storms().flatMap(StormSettings::uncertainWriteDirectory).map(DoubtFile::new);
@@ -237,8 +237,9 @@
         Budget budget = shared.budget().among(processes);
         clients.use(shared.settings(), budget);
         pool.resize(budget.requests(), budget.threads());
-        nodes.use(budget.answerBytes(), shared.settings().loadNames());
-        connections.use(shared.connectTimeout(), shared.idleLimit(), budget.nodeConnections());
+        nodes.reconfigure(budget.answerBytes(), shared.settings().loadNames());
+        connections.reconfigure(
+                shared.connectTimeout(), shared.idleLimit(), budget.nodeConnections());
     }
 
     /** An operator decided something here: the fleet hears of it, where one shares verdicts. */
@@ -279,7 +280,7 @@
         }
         door.ifPresent(Doorway::start);
         try {
-            discovery.awaitFirst(FIRST_LIST);
+            discovery.awaitFirstList(FIRST_LIST);
         } catch (InterruptedException stopped) {
             Thread.currentThread().interrupt();
         }
@@ -315,7 +316,7 @@
         long turn = evacuations.incrementAndGet();
         evacuated = away;
         if (away) {
-            loop.after(
+            loop.executeAfter(
                     FRONT_TURNED,
                     () -> {
                         if (evacuations.get() == turn) {
@@ -339,7 +340,7 @@
     public void use(Config next, OperatorFiles files) {
         engine.applySettings(next.settings());
         deal(next);
-        discovery.use(next.discovery(), next.nodeLists());
+        discovery.reconfigure(next.discovery(), next.nodeLists());
         if (files.nbd().isPresent() && blockClients.isPresent()) {
             nbdNodes.get().use(files.nbd().get());
             blockClients.get().use(files.nbd().get(), next.settings());
--- a/src/main/java/cypressglade/http/ClientListener.java
+++ b/src/main/java/cypressglade/http/ClientListener.java
@@ -12,8 +12,8 @@
 import cypressglade.core.RequestTask;
 import cypressglade.core.Responder;
 import cypressglade.core.Scheduler.Settings;
-import cypressglade.net.Listening;
-import cypressglade.net.Loop;
+import cypressglade.net.EventLoop;
+import cypressglade.net.ListeningSocket;
 import cypressglade.storm.ConnectionLimiter;
 import cypressglade.storm.ConnectionPacer;
 import io.undertow.Handlers;
@@ -110,7 +110,7 @@
     /** Accepted beyond the bound, while those that make way for them close. */
     private static final int CROSSING = 8;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final HttpOpenListener http;
     private final Engine engine;
     private final Counters counters;
@@ -120,7 +120,7 @@
     private final BooleanSupplier ready;
     private final Map<StreamConnection, ClientConnection> clients = new HashMap<>();
     private final TraceIds ids = new TraceIds();
-    private Listening listening;
+    private ListeningSocket listening;
     private RequestParser parser;
     private Budget budget;
     private int receiving;
@@ -138,7 +138,7 @@
             connected; // clients and those that are being closed in order, for other threads
 
     public ClientListener(
-            Loop loop,
+            EventLoop loop,
             Settings settings,
             Engine engine,
             Counters counters,
@@ -170,8 +170,9 @@
 
     /** Opens the doors. */
     public void start(InetSocketAddress address) throws IOException {
-        listening = loop.share(address, this::accept); // an upgrade's next process listens beside
-        listening.bound(budget.clientConnections() + CROSSING);
+        listening =
+                loop.bindShared(address, this::accept); // an upgrade's next process listens beside
+        listening.setMaxConnections(budget.clientConnections() + CROSSING);
         listening.resume();
         loop.execute(this::sweep);
         loop.execute(() -> pace(MonotonicClock.now()));
@@ -183,7 +184,7 @@
         atOnce =
                 intake.update(
                         Duration.between(due, now), clients.size(), budget.clientConnections());
-        loop.late(intake.meanLateness());
+        loop.setMeanLateness(intake.meanLateness());
         int accepted = atOnce;
         if (waves.isPresent()) { // it paces those who come, and turns away none who are here
             int more = waves.get().update(came, now);
@@ -195,12 +196,12 @@
         }
         if (accepted != acceptedAtOnce && !portLeft) {
             acceptedAtOnce = accepted;
-            listening.bound(accepted + CROSSING);
+            listening.setMaxConnections(accepted + CROSSING);
         }
         // Few are never too many; but a wave may begin with any number.
         Duration wait = clients.size() < LEAST_CLIENTS && waves.isEmpty() ? SWEEP : PACE;
         Instant then = now.plus(wait);
-        loop.after(wait, () -> pace(then));
+        loop.executeAfter(wait, () -> pace(then));
     }
 
     /** Clients that are worked on at once: by the budget, and fewer where this thread runs late. */
@@ -362,7 +363,7 @@
                 .filter(client -> client.coming && !client.open && !client.writing)
                 .filter(client -> client.since.isBefore(oldest))
                 .forEach(this::closeHalf);
-        loop.after(crowded() ? SWEEP_CROWD : SWEEP, this::sweep);
+        loop.executeAfter(crowded() ? SWEEP_CROWD : SWEEP, this::sweep);
     }
 
     /**
@@ -548,7 +549,7 @@
             limit =
                     whole
                             ? () -> true
-                            : loop.after(
+                            : loop.executeAfter(
                                     MonotonicClock.until(most.isBefore(until) ? most : until),
                                     this::turnAway);
         }
--- a/src/main/java/cypressglade/http/DiscoveryWatch.java
+++ b/src/main/java/cypressglade/http/DiscoveryWatch.java
@@ -5,8 +5,8 @@
 import cypressglade.core.Counters;
 import cypressglade.core.NodeDirectory;
 import cypressglade.core.NodeList;
-import cypressglade.net.Loop;
-import cypressglade.net.Wire;
+import cypressglade.net.Connection;
+import cypressglade.net.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -24,7 +24,7 @@
 public final class DiscoveryWatch {
     private static final System.Logger LOG = System.getLogger(DiscoveryWatch.class.getName());
 
-    private final Loop loop;
+    private final EventLoop loop;
     private InetSocketAddress address;
     private NodeListParser lists;
     private final NodeDirectory directory;
@@ -91,7 +91,7 @@
      * here.
      */
     public DiscoveryWatch(
-            Loop loop,
+            EventLoop loop,
             InetSocketAddress address,
             NodeListParser lists,
             NodeDirectory directory,
@@ -115,7 +115,7 @@
      * Waits for the first list, whatever is in it; false where none came in time, as while
      * discovery is down.
      */
-    public boolean awaitFirst(Duration most) throws InterruptedException {
+    public boolean awaitFirstList(Duration most) throws InterruptedException {
         return answered.await(most.toMillis(), TimeUnit.MILLISECONDS);
     }
 
@@ -124,7 +124,7 @@
      * counts as told. Versions of another source need not go on from ours, so its list is asked for
      * whole.
      */
-    public void use(InetSocketAddress next, NodeListParser nextLists) {
+    public void reconfigure(InetSocketAddress next, NodeListParser nextLists) {
         loop.execute(
                 () -> {
                     lists = nextLists;
@@ -148,33 +148,33 @@
     }
 
     /** One watch, on one connection. */
-    private final class Watch implements Wire.Listener, JsonFraming.Taker {
+    private final class Watch implements Connection.Listener, JsonFraming.Handler {
         private final ResponseParser parser = new ResponseParser(this::take, Long.MAX_VALUE);
         private final JsonFraming objects = new JsonFraming(this);
-        private Loop.Dial dial;
-        private Wire wire;
+        private EventLoop.Dial dial;
+        private Connection wire;
         private XnioExecutor.Key limit = () -> false;
         private boolean listed;
 
         private void open() {
             expect(limits.connect(), "no connection in time");
-            dial = loop.dial(address, this::connected, () -> broken("no connection"));
+            dial = loop.connect(address, this::connected, () -> broken("no connection"));
         }
 
         /** The next step has so long from now; the last one is done. */
         private void expect(Duration most, String otherwise) {
             limit.remove();
-            limit = loop.after(most, () -> broken(otherwise));
+            limit = loop.executeAfter(most, () -> broken(otherwise));
         }
 
-        private void connected(Wire up) {
+        private void connected(Connection up) {
             dial = null;
             if (current != this) {
                 up.close();
                 return;
             }
             wire = up;
-            wire.listen(this);
+            wire.readInto(this);
             expect(limits.answerAfter(unanswered), "not answered");
             unanswered++;
             wire.send(
@@ -201,7 +201,7 @@
         }
 
         @Override
-        public void broke() {
+        public void failed() {
             broken("reset");
         }
 
@@ -231,7 +231,7 @@
 
         /** Only what is whole is a sign of life: half an object may be the last that comes. */
         @Override
-        public void line() {
+        public void lineRead() {
             if (listed) {
                 expect(limits.silence(), "silent");
             }
@@ -256,7 +256,7 @@
                     logged = why;
                     LOG.log(System.Logger.Level.INFO, "discovery watch: {0}", why);
                 }
-                loop.after(limits.again(), DiscoveryWatch.this::open);
+                loop.executeAfter(limits.again(), DiscoveryWatch.this::open);
             }
         }
     }
--- a/src/main/java/cypressglade/http/JsonFraming.java
+++ b/src/main/java/cypressglade/http/JsonFraming.java
@@ -14,21 +14,21 @@
     private static final int FIRST_TEXT_BYTE = ' ';
 
     /** Takes what is whole; a failure ends the stream. */
-    interface Taker {
+    interface Handler {
         /** One object, from its first brace to its last. */
         void object(byte[] text) throws IOException;
 
         /** A line that ended outside any object: a sign of life. */
-        void line();
+        void lineRead();
     }
 
-    private final Taker taker;
+    private final JsonFraming.Handler taker;
     private final ByteArrayOutputStream object = new ByteArrayOutputStream();
     private int depth;
     private boolean inString;
     private boolean escaped;
 
-    JsonFraming(Taker taker) {
+    JsonFraming(JsonFraming.Handler taker) {
         this.taker = taker;
     }
 
@@ -53,7 +53,7 @@
             object.write(next);
             depth = 1;
         } else if (next == '\n') {
-            taker.line();
+            taker.lineRead();
         } else if (next != ' ' && next != '\t' && next != '\r') {
             throw new IOException("not a JSON object");
         }
--- a/src/main/java/cypressglade/http/LingeringClose.java
+++ b/src/main/java/cypressglade/http/LingeringClose.java
@@ -1,6 +1,6 @@
 package cypressglade.http;
 
-import cypressglade.net.Loop;
+import cypressglade.net.EventLoop;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.time.Duration;
@@ -37,14 +37,14 @@
     }
 
     /** Begins it; {@code over} runs once the connection is closed. */
-    void start(Loop loop, Runnable over) {
+    void start(EventLoop loop, Runnable over) {
         if (closed != null) { // begun before
             over.run();
             return;
         }
         closed = over;
         dropped = ByteBuffer.allocate(BUFFER);
-        limit = loop.after(MOST, this::close);
+        limit = loop.executeAfter(MOST, this::close);
         try {
             sink.terminateWrites();
             connection.getSourceChannel().setReadListener(channel -> drop());
--- a/src/main/java/cypressglade/http/LoadReport.java
+++ b/src/main/java/cypressglade/http/LoadReport.java
@@ -25,7 +25,7 @@
     private static final Pattern DECIMAL = Pattern.compile("-?[0-9]{1,12}(\\.[0-9]{1,9})?");
 
     /** In the module's figures; the load by the names that the settings give, in their order. */
-    NodeLink.ResponseMetadata told(List<String> names) {
+    NodeLink.ResponseMetadata toResponseMetadata(List<String> names) {
         double use = figure(volumeLoad);
         int used = Double.isNaN(use) || use < 0 ? 0 : (int) Math.min(MOST, Math.round(use) + 1);
         double others = figure(otherHosts);
--- a/src/main/java/cypressglade/http/NodeClient.java
+++ b/src/main/java/cypressglade/http/NodeClient.java
@@ -43,7 +43,7 @@
     }
 
     /** Takes a new bound on what is coming in, and the names of a load report. */
-    public void use(int most, List<String> names) {
+    public void reconfigure(int most, List<String> names) {
         mostComing = most;
         loadNames = List.copyOf(names);
     }
@@ -60,7 +60,7 @@
 
     @Override
     public void probe(long node, Consumer<NodeLink.AttemptResult> ended) {
-        Instant until = MonotonicClock.now().plus(NodePool.PROBE_LIMIT);
+        Instant until = MonotonicClock.now().plus(NodePool.PROBE_TIMEOUT);
         new HttpExchange(node, left -> HttpWork.probe(), until, () -> true, ended).start();
     }
 
@@ -95,18 +95,18 @@
         }
 
         @Override
-        protected Optional<Status> readToEnd() {
-            return parser.ended() ? Optional.of(status()) : Optional.empty();
+        protected Optional<Status> readEndOfStream() {
+            return parser.readEndOfStream() ? Optional.of(status()) : Optional.empty();
         }
 
         @Override
-        protected Optional<Duration> mostSilence() {
+        protected Optional<Duration> maxSilence() {
             return Optional.of(MOST_SILENCE);
         }
 
         @Override
-        protected boolean reusable() {
-            return parser.reusable();
+        protected boolean isReusable() {
+            return parser.isReusable();
         }
 
         @Override
@@ -115,9 +115,9 @@
         }
 
         @Override
-        protected NodeLink.ResponseMetadata told() {
-            return parser.whole()
-                    ? parser.report().told(loadNames)
+        protected NodeLink.ResponseMetadata responseMetadata() {
+            return parser.isComplete()
+                    ? parser.report().toResponseMetadata(loadNames)
                     : NodeLink.ResponseMetadata.NOTHING;
         }
 
@@ -138,7 +138,7 @@
         }
 
         @Override
-        protected void over() {
+        protected void release() {
             coming -= body.room();
         }
     }
--- a/src/main/java/cypressglade/http/ResponseParser.java
+++ b/src/main/java/cypressglade/http/ResponseParser.java
@@ -17,7 +17,7 @@
     private static final String NAME_SIGNS = "!#$%&'*+-.^_`|~";
 
     /** Takes parts of a body; a failure ends the answer. */
-    interface Taker {
+    interface BodyConsumer {
         void accept(ByteBuffer part) throws IOException;
     }
 
@@ -33,7 +33,7 @@
         DONE
     }
 
-    private final Taker body;
+    private final ResponseParser.BodyConsumer body;
     private final long mostBody;
     private final StringBuilder line = new StringBuilder();
     private Part part = Part.STATUS;
@@ -50,7 +50,7 @@
             metrics = ""; // what the answer tells beside itself
 
     /** A reader of an answer with a body of so many bytes at most. */
-    ResponseParser(Taker body, long mostBody) {
+    ResponseParser(ResponseParser.BodyConsumer body, long mostBody) {
         this.body = body;
         this.mostBody = mostBody;
     }
@@ -74,7 +74,7 @@
     }
 
     /** The connection ended; true if that ends the answer whole. */
-    boolean ended() {
+    boolean readEndOfStream() {
         if (part == Part.TO_END) {
             part = Part.DONE;
         }
@@ -95,7 +95,7 @@
     }
 
     /** Whether the answer was read to its end. */
-    boolean whole() {
+    boolean isComplete() {
         return part == Part.DONE;
     }
 
@@ -108,7 +108,7 @@
     }
 
     /** Whether the connection may carry another request. */
-    boolean reusable() {
+    boolean isReusable() {
         return part == Part.DONE && !close;
     }
 
--- a/src/main/java/cypressglade/nbd/ClientHandshake.java
+++ b/src/main/java/cypressglade/nbd/ClientHandshake.java
@@ -1,6 +1,6 @@
 package cypressglade.nbd;
 
-import cypressglade.net.Wire;
+import cypressglade.net.Connection;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -9,11 +9,11 @@
  * This program's side of a handshake with a node: fixed newstyle, structured replies where it has
  * them.
  */
-final class ClientHandshake implements Wire.Listener {
+final class ClientHandshake implements Connection.Listener {
     private static final int MOST_OPTION_REPLY = 64 * 1024;
     private static final int GO_FIXED = 6;
 
-    private final Wire wire;
+    private final Connection wire;
     private final NbdConfig.Export export;
     private final Runnable ready;
     private final Runnable unusable;
@@ -23,7 +23,7 @@
     private boolean done;
     private boolean noZeroes;
 
-    ClientHandshake(Wire wire, NbdConfig.Export export, Runnable ready, Runnable unusable) {
+    ClientHandshake(Connection wire, NbdConfig.Export export, Runnable ready, Runnable unusable) {
         this.wire = wire;
         this.export = export;
         this.ready = ready;
--- a/src/main/java/cypressglade/nbd/NbdListener.java
+++ b/src/main/java/cypressglade/nbd/NbdListener.java
@@ -10,9 +10,9 @@
 import cypressglade.core.Responder;
 import cypressglade.core.Scheduler.Settings;
 import cypressglade.nbd.NbdConfig.Export;
-import cypressglade.net.Listening;
-import cypressglade.net.Loop;
-import cypressglade.net.Wire;
+import cypressglade.net.Connection;
+import cypressglade.net.EventLoop;
+import cypressglade.net.ListeningSocket;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -25,7 +25,7 @@
     private static final int MOST_CLIENTS = 12;
     private static final Duration HANDSHAKE_LIMIT = Duration.ofSeconds(10);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private volatile NbdConfig config;
     private volatile Settings settings;
     private final Engine engine;
@@ -33,13 +33,13 @@
     private final Counters counters;
     private final RequestPool pool;
     private final NodeLink<NbdWork> link;
-    private final Listening listening;
-    private final Set<Wire> clients = new HashSet<>();
+    private final ListeningSocket listening;
+    private final Set<Connection> clients = new HashSet<>();
     private volatile boolean leaving;
     private volatile boolean refusing;
 
     public NbdListener(
-            Loop loop,
+            EventLoop loop,
             NbdConfig config,
             Settings settings,
             Engine engine,
@@ -84,7 +84,7 @@
         listening.close();
     }
 
-    private void accept(Wire wire) {
+    private void accept(Connection wire) {
         if (clients.size() >= MOST_CLIENTS) {
             wire.close();
             return;
@@ -97,7 +97,7 @@
                         this::drains,
                         (export, structured) -> new Transmission(this, wire, export, structured),
                         () -> left(wire));
-        loop.after(
+        loop.executeAfter(
                 HANDSHAKE_LIMIT,
                 () -> {
                     if (!handshake.over()) {
@@ -114,7 +114,7 @@
                                 .anyMatch(extent -> directory.isDraining(extent.shard()));
     }
 
-    void left(Wire wire) {
+    void left(Connection wire) {
         clients.remove(wire);
     }
 
--- a/src/main/java/cypressglade/nbd/NbdNodeLink.java
+++ b/src/main/java/cypressglade/nbd/NbdNodeLink.java
@@ -4,8 +4,8 @@
 import cypressglade.core.NodeDirectory;
 import cypressglade.core.NodeLink;
 import cypressglade.core.Scheduler.Status;
+import cypressglade.net.Connection;
 import cypressglade.net.NodePool;
-import cypressglade.net.Wire;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -85,8 +85,8 @@
         }
 
         @Override
-        protected void prepare(Wire fresh, Runnable ready, Runnable unusable) {
-            fresh.listen(new ClientHandshake(fresh, export, ready, unusable));
+        protected void prepare(Connection fresh, Runnable ready, Runnable unusable) {
+            fresh.readInto(new ClientHandshake(fresh, export, ready, unusable));
         }
     }
 
@@ -120,7 +120,7 @@
         }
 
         @Override
-        protected boolean reusable() {
+        protected boolean isReusable() {
             return true;
         }
 
@@ -136,7 +136,7 @@
             super(
                     node,
                     config.exports().get(0),
-                    MonotonicClock.now().plus(NodePool.PROBE_LIMIT),
+                    MonotonicClock.now().plus(NodePool.PROBE_TIMEOUT),
                     () -> true,
                     ended);
         }
@@ -164,12 +164,12 @@
         }
 
         @Override
-        protected Optional<Status> readToEnd() {
+        protected Optional<Status> readEndOfStream() {
             return Optional.of(Status.OK);
         }
 
         @Override
-        protected boolean reusable() {
+        protected boolean isReusable() {
             return false;
         }
 
--- a/src/main/java/cypressglade/nbd/ServerHandshake.java
+++ b/src/main/java/cypressglade/nbd/ServerHandshake.java
@@ -1,7 +1,7 @@
 package cypressglade.nbd;
 
 import cypressglade.nbd.NbdConfig.Export;
-import cypressglade.net.Wire;
+import cypressglade.net.Connection;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -9,13 +9,13 @@
 import java.util.function.Predicate;
 
 /** A client's handshake: options until it asks for an export, in fixed newstyle. */
-final class ServerHandshake implements Wire.Listener {
+final class ServerHandshake implements Connection.Listener {
     private static final int MOST_SKIPPED = 1 << 20;
     private static final int MOST_GO = 4 + Nbd.MOST_NAME + 2 + 2 * 1024;
     private static final int PREFERRED_BLOCK = 4096;
     private static final byte[] NOTHING = {};
 
-    private final Wire wire;
+    private final Connection wire;
     private final NbdConfig config;
     private final Predicate<Optional<Export>> drains;
     private final Opened opened;
@@ -24,11 +24,11 @@
     private boolean fixed;
     private boolean noZeroes;
     private boolean structured;
-    private Wire.Listener next;
+    private Connection.Listener next;
 
     /** What takes over once an export is chosen. */
     interface Opened {
-        Wire.Listener open(Export export, boolean structured);
+        Connection.Listener open(Export export, boolean structured);
     }
 
     /**
@@ -36,7 +36,7 @@
      * down.
      */
     ServerHandshake(
-            Wire wire,
+            Connection wire,
             NbdConfig config,
             Predicate<Optional<Export>> drains,
             Opened opened,
@@ -47,7 +47,7 @@
         this.opened = opened;
         this.left = left;
         pieces.expect(4, this::clientFlags);
-        wire.listen(this);
+        wire.readInto(this);
         wire.send(
                 ByteBuffer.allocate(18)
                         .putLong(Nbd.NBDMAGIC)
@@ -64,7 +64,7 @@
     public void received(ByteBuffer in) throws IOException {
         pieces.feed(in);
         if (next != null) {
-            wire.listen(next);
+            wire.readInto(next);
             next.received(in);
         }
     }
--- a/src/main/java/cypressglade/nbd/Transmission.java
+++ b/src/main/java/cypressglade/nbd/Transmission.java
@@ -8,7 +8,7 @@
 import cypressglade.core.Responder;
 import cypressglade.core.Scheduler.Settings;
 import cypressglade.nbd.NbdConfig.Export;
-import cypressglade.net.Wire;
+import cypressglade.net.Connection;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.time.Duration;
@@ -22,7 +22,7 @@
 import java.util.function.Consumer;
 
 /** The commands of one client on one export, each answered once. Runs on the I/O thread. */
-final class Transmission implements Wire.Listener {
+final class Transmission implements Connection.Listener {
     /**
      * The longest read or write; larger ones are turned down and what they carry is passed over.
      */
@@ -37,7 +37,7 @@
     private static final Duration MARGIN = Duration.ofMillis(20);
 
     private final NbdListener front;
-    private final Wire wire;
+    private final Connection wire;
     private final Export export;
     private final boolean structured;
     private final Pieces pieces = new Pieces();
@@ -50,7 +50,7 @@
     /** A node that a write of this client may have reached. */
     private record Reached(int shard, long node) {}
 
-    Transmission(NbdListener front, Wire wire, Export export, boolean structured) {
+    Transmission(NbdListener front, Connection wire, Export export, boolean structured) {
         this.front = front;
         this.wire = wire;
         this.export = export;
@@ -62,7 +62,7 @@
     public void received(ByteBuffer in) throws IOException {
         pieces.feed(in);
         if (pieces.isHeld() && !over) {
-            wire.pause();
+            wire.pauseReading();
             stash = ByteBuffer.allocate(in.remaining()).put(in).flip();
         }
     }
@@ -81,7 +81,7 @@
 
     /** Takes further commands, unless too many are open or the client does not read its replies. */
     private void goOn() {
-        if (over || !pieces.isHeld() || open >= MOST_OPEN || wire.unsent() > MOST_UNSENT) {
+        if (over || !pieces.isHeld() || open >= MOST_OPEN || wire.unsentBytes() > MOST_UNSENT) {
             return;
         }
         pieces.release();
@@ -90,7 +90,7 @@
         try {
             received(kept);
             if (!pieces.isHeld() && !over) {
-                wire.listen(this);
+                wire.readInto(this);
             }
         } catch (IOException broken) {
             ended();
@@ -142,7 +142,7 @@
     }
 
     private void holdIfFull() {
-        if (open >= MOST_OPEN || wire.unsent() > MOST_UNSENT) {
+        if (open >= MOST_OPEN || wire.unsentBytes() > MOST_UNSENT) {
             pieces.hold();
         }
     }
--- a/src/main/java/cypressglade/net/Wire.java
+++ b/src/main/java/cypressglade/net/Connection.java
@@ -11,8 +11,8 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /** One TCP connection, on the I/O thread. Its owner closes it. */
-public final class Wire {
-    private final Loop loop;
+public final class Connection {
+    private final EventLoop loop;
     private final StreamConnection connection;
     private final ArrayDeque<ByteBuffer> output = new ArrayDeque<>();
     private Listener listener;
@@ -27,14 +27,14 @@
         /** Bytes came; what is left in the buffer is lost. A failure breaks the wire. */
         void received(ByteBuffer in) throws IOException;
 
-        /** The other side ended its sending; told once, and not after {@link Wire#close}. */
+        /** The other side ended its sending; told once, and not after {@link Connection#close}. */
         void ended();
 
         /**
          * The wire broke instead, as by a reset: that ends nothing whole, as what would have come
          * next is not known. Told once, in place of {@link #ended}.
          */
-        default void broke() {
+        default void failed() {
             ended();
         }
 
@@ -42,7 +42,7 @@
         default void sent() {}
     }
 
-    Wire(Loop loop, StreamConnection connection) {
+    Connection(EventLoop loop, StreamConnection connection) {
         this.loop = loop;
         this.connection = connection;
         connection.getSourceChannel().setReadListener(this::read);
@@ -50,12 +50,12 @@
     }
 
     /** Hands what comes from now on to another listener. */
-    public void listen(Listener next) {
+    public void readInto(Listener next) {
         listener = next;
         connection.getSourceChannel().resumeReads();
     }
 
-    public void pause() {
+    public void pauseReading() {
         connection.getSourceChannel().suspendReads();
     }
 
@@ -74,17 +74,17 @@
     }
 
     /** When bytes went either way last; the other side counts the connection's rest from then. */
-    public Instant used() {
+    public Instant lastActivity() {
         return used;
     }
 
     /** Bytes that the socket has not taken yet. */
-    public long unsent() {
+    public long unsentBytes() {
         return unsent;
     }
 
     /** Whether nothing came that was not heard of yet, be it bytes or the end. */
-    boolean quiet() {
+    boolean hasNoInput() {
         try {
             return !closed && connection.getSourceChannel().read(loop.input.clear()) == 0;
         } catch (IOException broken) {
@@ -139,7 +139,7 @@
                 loop.execute(listener::sent);
             }
         } catch (IOException reset) {
-            loop.execute(() -> over(listener::broke));
+            loop.execute(() -> over(listener::failed));
         }
     }
 
@@ -160,7 +160,7 @@
                 listener.received(input.flip());
             }
         } catch (IOException reset) {
-            over(listener::broke);
+            over(listener::failed);
         }
     }
 
--- a/src/main/java/cypressglade/net/Loop.java
+++ b/src/main/java/cypressglade/net/EventLoop.java
@@ -29,8 +29,8 @@
  * The program's one I/O thread: what runs on it never blocks, and the state of its wires is its
  * alone.
  */
-public class Loop implements AutoCloseable {
-    private static final System.Logger LOG = System.getLogger(Loop.class.getName());
+public class EventLoop implements AutoCloseable {
+    private static final System.Logger LOG = System.getLogger(EventLoop.class.getName());
 
     /** Held, as its level is lost with it. */
     private static final Logger XNIO = Logger.getLogger("org.xnio");
@@ -52,7 +52,7 @@
     private Duration lateness = Duration.ZERO;
     final ByteBuffer input = ByteBuffer.allocateDirect(BUFFER);
 
-    public Loop() throws IOException {
+    public EventLoop() throws IOException {
         OptionMap options =
                 OptionMap.builder()
                         .set(Options.WORKER_IO_THREADS, 1)
@@ -79,12 +79,12 @@
     }
 
     /** How late this thread came to what was due, on average lately; on this thread. */
-    public Duration lateness() {
+    public Duration meanLateness() {
         return lateness;
     }
 
     /** Told by whoever looks at it, on this thread. */
-    public void late(Duration mean) {
+    public void setMeanLateness(Duration mean) {
         lateness = mean;
     }
 
@@ -96,7 +96,7 @@
         }
     }
 
-    public XnioExecutor.Key after(Duration delay, Runnable task) {
+    public XnioExecutor.Key executeAfter(Duration delay, Runnable task) {
         try {
             return io.executeAfter(task, Math.max(1, delay.toMillis()), TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException closing) {
@@ -105,15 +105,15 @@
     }
 
     /** Connects; either {@code up} or {@code down} is called, once, on this thread. */
-    public Dial dial(InetSocketAddress address, Consumer<Wire> up, Runnable down) {
-        return dial(Optional.empty(), address, up, down);
+    public Dial connect(InetSocketAddress address, Consumer<Connection> up, Runnable down) {
+        return connect(Optional.empty(), address, up, down);
     }
 
     /** The same, from a local address; from whichever the route gives where there is none. */
-    public Dial dial(
+    public Dial connect(
             Optional<InetSocketAddress> from,
             InetSocketAddress address,
-            Consumer<Wire> up,
+            Consumer<Connection> up,
             Runnable down) {
         IoFuture<StreamConnection> future =
                 from.isEmpty()
@@ -123,7 +123,7 @@
                 new IoFuture.HandlingNotifier<StreamConnection, Void>() {
                     @Override
                     public void handleDone(StreamConnection connection, Void nothing) {
-                        execute(() -> up.accept(new Wire(Loop.this, connection)));
+                        execute(() -> up.accept(new Connection(EventLoop.this, connection)));
                     }
 
                     @Override
@@ -141,19 +141,19 @@
     }
 
     /** The two ends of a connection inside the program. */
-    protected final Wire[] wires() {
+    protected final Connection[] connectedPair() {
         StreamConnection[] ends = pipe();
-        return new Wire[] {new Wire(this, ends[0]), new Wire(this, ends[1])};
+        return new Connection[] {new Connection(this, ends[0]), new Connection(this, ends[1])};
     }
 
     /**
      * A connection inside the program: one end is handed over as an accepted one is, the other
      * returned.
      */
-    public final Wire pipe(Consumer<StreamConnection> accepted) {
+    public final Connection openPipe(Consumer<StreamConnection> accepted) {
         StreamConnection[] ends = pipe();
         execute(() -> accepted.accept(ends[0]));
-        return new Wire(this, ends[1]);
+        return new Connection(this, ends[1]);
     }
 
     private StreamConnection[] pipe() {
@@ -167,8 +167,10 @@
     }
 
     /** Listens; each connection is handed over on this thread. */
-    public Listening listen(InetSocketAddress address, Consumer<Wire> accepted) throws IOException {
-        Listening listening = bind(address, false, up -> accepted.accept(new Wire(this, up)));
+    public ListeningSocket listen(InetSocketAddress address, Consumer<Connection> accepted)
+            throws IOException {
+        ListeningSocket listening =
+                bind(address, false, up -> accepted.accept(new Connection(this, up)));
         listening.resume();
         return listening;
     }
@@ -177,8 +179,8 @@
      * Binds a listener that another process may share (SO_REUSEPORT), as an upgrade wants it; it
      * hands over each connection on this thread, once it is told to accept.
      */
-    public Listening share(InetSocketAddress address, Consumer<StreamConnection> accepted)
-            throws IOException {
+    public ListeningSocket bindShared(
+            InetSocketAddress address, Consumer<StreamConnection> accepted) throws IOException {
         return Retry.untilDone(
                 BIND_LIMIT,
                 "clients' port",
@@ -186,7 +188,7 @@
                 () -> bind(address, true, accepted));
     }
 
-    private Listening bind(
+    private ListeningSocket bind(
             InetSocketAddress address, boolean shared, Consumer<StreamConnection> accepted)
             throws IOException {
         ServerSocketChannel channel = ServerSocketChannel.open();
@@ -197,7 +199,7 @@
                 channel.setOption(StandardSocketOptions.SO_REUSEPORT, true);
             }
             channel.bind(address, BACKLOG);
-            return new Listening(this, channel, accepted);
+            return new ListeningSocket(this, channel, accepted);
         } catch (IOException taken) {
             IoUtils.safeClose(channel);
             throw taken;
@@ -205,9 +207,9 @@
     }
 
     /** Opens a UDP socket. */
-    public Datagrams datagrams(InetSocketAddress address, Datagrams.Receiver receiver)
+    public UdpSocket openUdpSocket(InetSocketAddress address, UdpSocket.Receiver receiver)
             throws IOException {
-        return new Datagrams(worker, address, receiver);
+        return new UdpSocket(worker, address, receiver);
     }
 
     @Override
--- a/src/main/java/cypressglade/net/Listening.java
+++ b/src/main/java/cypressglade/net/ListeningSocket.java
@@ -8,15 +8,16 @@
 import org.xnio.nio.Acceptor;
 
 /** An open listener. Its connections are handed over on the I/O thread. */
-public final class Listening implements AutoCloseable {
-    private static final System.Logger LOG = System.getLogger(Listening.class.getName());
+public final class ListeningSocket implements AutoCloseable {
+    private static final System.Logger LOG = System.getLogger(ListeningSocket.class.getName());
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final InetSocketAddress address;
     private final Acceptor acceptor;
     private int failures; // since the last one that was accepted
 
-    Listening(Loop loop, ServerSocketChannel channel, Consumer<StreamConnection> accepted)
+    ListeningSocket(
+            EventLoop loop, ServerSocketChannel channel, Consumer<StreamConnection> accepted)
             throws IOException {
         this.loop = loop;
         address = (InetSocketAddress) channel.getLocalAddress();
@@ -66,7 +67,7 @@
     }
 
     /** Accepts no more than so many at a time; whoever comes beyond that waits in the backlog. */
-    public void bound(int most) {
+    public void setMaxConnections(int most) {
         loop.execute(() -> acceptor.bound(most));
     }
 
--- a/src/main/java/cypressglade/net/NodePool.java
+++ b/src/main/java/cypressglade/net/NodePool.java
@@ -28,14 +28,14 @@
  * Nothing is ever sent again here; an attempt's end says exactly whether its last byte was written.
  */
 public final class NodePool {
-    public static final Duration PROBE_LIMIT = Duration.ofMillis(250);
+    public static final Duration PROBE_TIMEOUT = Duration.ofMillis(250);
     private static final Duration MOST_IDLE = Duration.ofSeconds(12);
     private static final Duration SWEEP = Duration.ofSeconds(1);
 
     /** A send that its connection delays by more would count too late against a volume's limit. */
     private static final Duration MOST_CONNECT = Duration.ofMillis(150);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final NodeDirectory directory;
     private final Counters counters;
     private Duration connectLimit;
@@ -45,7 +45,7 @@
     private int connections;
 
     public NodePool(
-            Loop loop,
+            EventLoop loop,
             NodeDirectory directory,
             Counters counters,
             Duration connectTimeout,
@@ -54,12 +54,12 @@
         this.loop = loop;
         this.directory = directory;
         this.counters = counters;
-        use(connectTimeout, idleAtNode, mostConnections);
-        loop.after(SWEEP, this::sweep);
+        reconfigure(connectTimeout, idleAtNode, mostConnections);
+        loop.executeAfter(SWEEP, this::sweep);
     }
 
     /** Takes new limits; connections over them go as they become idle. */
-    public void use(Duration connectTimeout, Duration idleAtNode, int most) {
+    public void reconfigure(Duration connectTimeout, Duration idleAtNode, int most) {
         loop.execute(
                 () -> {
                     connectLimit = shorter(connectTimeout, MOST_CONNECT);
@@ -76,17 +76,17 @@
      * A connection between two requests. Whatever comes on it ends it: a node has nothing to say
      * there.
      */
-    private final class Idle implements Wire.Listener {
-        private final Wire wire;
+    private final class Idle implements Connection.Listener {
+        private final Connection wire;
         private final String use;
         private final long node;
         private final Instant since;
 
-        Idle(Wire wire, String use, long node) {
+        Idle(Connection wire, String use, long node) {
             this.wire = wire;
             this.use = use;
             this.node = node;
-            since = wire.used(); // one that was taken and not used has rested all along
+            since = wire.lastActivity(); // one that was taken and not used has rested all along
         }
 
         @Override
@@ -110,14 +110,14 @@
      * An idle connection that is still of use: not one that its node may have closed by now, nor
      * one to the process that ran before the node's last start, which may be dead without a word.
      */
-    private Optional<Wire> takeIdle(String use, Instant nodeStarted) {
+    private Optional<Connection> takeIdle(String use, Instant nodeStarted) {
         ArrayDeque<Idle> kept = idle.getOrDefault(use, new ArrayDeque<>());
         Instant oldest = MonotonicClock.now().minus(idleLimit);
         while (!kept.isEmpty()) {
             Idle last = kept.pollLast();
             if (last.since.isBefore(oldest) || last.since.isBefore(nodeStarted)) {
                 close(last.wire);
-            } else if (last.wire.quiet()) {
+            } else if (last.wire.hasNoInput()) {
                 return Optional.of(last.wire);
             } else {
                 // Guards against bytes behind an answer that are here but not heard of yet: they
@@ -129,14 +129,14 @@
         return Optional.empty();
     }
 
-    private void keep(Wire wire, String use, long node) {
+    private void keep(Connection wire, String use, long node) {
         Idle kept = new Idle(wire, use, node);
         idle.computeIfAbsent(use, key -> new ArrayDeque<>()).addLast(kept);
-        wire.listen(kept);
+        wire.readInto(kept);
     }
 
     /** The one place where a connection is given back. */
-    private void close(Wire wire) {
+    private void close(Connection wire) {
         connections--;
         wire.close();
     }
@@ -154,7 +154,7 @@
                     .forEach(Idle::discard);
         }
         idle.values().removeIf(ArrayDeque::isEmpty);
-        loop.after(SWEEP, this::sweep);
+        loop.executeAfter(SWEEP, this::sweep);
     }
 
     /**
@@ -173,14 +173,14 @@
     }
 
     /** One request on a connection, from its start to its one end; each wire says how it is put. */
-    public abstract class Exchange implements Wire.Listener {
+    public abstract class Exchange implements Connection.Listener {
         private final long node;
         private final Instant until;
         private final BooleanSupplier wanted;
         private final Consumer<NodeLink.AttemptResult> ended;
         private String use;
-        private Loop.Dial dial;
-        private Wire wire;
+        private EventLoop.Dial dial;
+        private Connection wire;
         private XnioExecutor.Key limit;
         private Instant opened = MonotonicClock.now();
         private boolean begun;
@@ -209,7 +209,7 @@
         }
 
         /** Makes a new connection ready for its first request. */
-        protected void prepare(Wire fresh, Runnable ready, Runnable unusable) {
+        protected void prepare(Connection fresh, Runnable ready, Runnable unusable) {
             ready.run();
         }
 
@@ -220,25 +220,25 @@
         protected abstract Optional<Status> read(ByteBuffer in) throws IOException;
 
         /** How long the rest of an answer may stay out once it has begun, where that is bounded. */
-        protected Optional<Duration> mostSilence() {
+        protected Optional<Duration> maxSilence() {
             return Optional.empty();
         }
 
         /** The connection ended; how the exchange ended if that makes its answer whole. */
-        protected Optional<Status> readToEnd() {
+        protected Optional<Status> readEndOfStream() {
             return Optional.empty();
         }
 
         /** Whether the connection may carry another request after a whole answer. */
-        protected abstract boolean reusable();
+        protected abstract boolean isReusable();
 
         protected abstract byte[] answer();
 
         /** It has ended: what it holds is given back. */
-        protected void over() {}
+        protected void release() {}
 
         /** What the answer told beside itself; nothing where it was not read whole. */
-        protected ResponseMetadata told() {
+        protected ResponseMetadata responseMetadata() {
             return ResponseMetadata.NOTHING;
         }
 
@@ -258,7 +258,7 @@
                 holdBack(heldBack.get());
                 return;
             }
-            Optional<Wire> kept = takeIdle(use, known.orElseThrow().monotonicStart());
+            Optional<Connection> kept = takeIdle(use, known.orElseThrow().monotonicStart());
             if (kept.isPresent()) {
                 wire = kept.get();
                 begin();
@@ -275,10 +275,10 @@
             limit(
                     requestFirst ? left : connectLimit,
                     requestFirst ? Status.MOOT : Status.CONNECT_FAILED);
-            dial = loop.dial(address.get(), this::connected, this::notConnected);
+            dial = loop.connect(address.get(), this::connected, this::notConnected);
         }
 
-        private void connected(Wire up) {
+        private void connected(Connection up) {
             if (over) {
                 close(up);
                 return;
@@ -330,7 +330,7 @@
             Duration left = MonotonicClock.until(until);
             begun = true;
             limit(left, Status.TIMEOUT);
-            wire.listen(this);
+            wire.readInto(this);
             wire.send(message(left));
         }
 
@@ -354,11 +354,11 @@
                 return;
             }
             if (whole.isEmpty()) {
-                mostSilence().ifPresent(this::watchSilence);
-            } else if (whole.get() == Status.OK && wire.unsent() > 0) {
+                maxSilence().ifPresent(this::watchSilence);
+            } else if (whole.get() == Status.OK && wire.unsentBytes() > 0) {
                 spoilt(); // no answer to a request that is not all written
             } else {
-                if (!in.hasRemaining() && reusable() && wire.unsent() == 0) {
+                if (!in.hasRemaining() && isReusable() && wire.unsentBytes() == 0) {
                     keep(wire, use, node);
                     wire = null;
                 }
@@ -379,7 +379,7 @@
         private void watchSilence(Duration most) {
             lastHeard = MonotonicClock.now();
             if (silence == null) {
-                silence = loop.after(most, () -> silent(most));
+                silence = loop.executeAfter(most, () -> silent(most));
             }
         }
 
@@ -387,7 +387,7 @@
             silence = null;
             Duration quiet = Duration.between(lastHeard, MonotonicClock.now());
             if (quiet.compareTo(most) < 0) {
-                silence = loop.after(most.minus(quiet), () -> silent(most));
+                silence = loop.executeAfter(most.minus(quiet), () -> silent(most));
                 return;
             }
             int before = heard;
@@ -399,7 +399,7 @@
 
         @Override
         public final void ended() {
-            end(readToEnd().orElseGet(() -> written(Status.RESET)));
+            end(readEndOfStream().orElseGet(() -> written(Status.RESET)));
         }
 
         /**
@@ -407,13 +407,13 @@
          * it.
          */
         @Override
-        public final void broke() {
+        public final void failed() {
             end(written(Status.RESET));
         }
 
         /** Work whose last byte was not written has never run; after that it may have. */
         private Status written(Status status) {
-            return begun && !over && wire.unsent() > 0 ? Status.CONNECT_FAILED : status;
+            return begun && !over && wire.unsentBytes() > 0 ? Status.CONNECT_FAILED : status;
         }
 
         private void limit(Duration left, Status status) {
@@ -421,7 +421,7 @@
                 limit.remove();
             }
             limit =
-                    loop.after(
+                    loop.executeAfter(
                             left,
                             () -> {
                                 if (begun && !over) {
@@ -451,11 +451,15 @@
             } else if (dial != null) {
                 dial.cancel();
             }
-            Duration took = Duration.between(opened, MonotonicClock.now()).minus(loop.lateness());
+            Duration took =
+                    Duration.between(opened, MonotonicClock.now()).minus(loop.meanLateness());
             NodeLink.AttemptResult ending =
                     NodeLink.AttemptResult.fromResponse(
-                            status, answer(), told(), took.isNegative() ? Duration.ZERO : took);
-            over();
+                            status,
+                            answer(),
+                            responseMetadata(),
+                            took.isNegative() ? Duration.ZERO : took);
+            release();
             ended.accept(ending);
         }
     }
--- a/src/main/java/cypressglade/net/Datagrams.java
+++ b/src/main/java/cypressglade/net/UdpSocket.java
@@ -10,14 +10,14 @@
 import org.xnio.channels.SocketAddressBuffer;
 
 /** A UDP socket on the I/O thread. What the network or a full buffer loses is lost. */
-public final class Datagrams implements AutoCloseable {
+public final class UdpSocket implements AutoCloseable {
     /** Fits an Ethernet frame with room for tunnels. */
-    public static final int MOST_BYTES = 1400;
+    public static final int MAX_DATAGRAM_BYTES = 1400;
 
     /** Taken at a time, so that a flood leaves the I/O thread to the others in between. */
     private static final int AT_A_TIME = 16;
 
-    private final ByteBuffer input = ByteBuffer.allocate(MOST_BYTES + 1);
+    private final ByteBuffer input = ByteBuffer.allocate(MAX_DATAGRAM_BYTES + 1);
     private final SocketAddressBuffer sender = new SocketAddressBuffer();
     private final MulticastMessageChannel channel;
     private final Receiver receiver;
@@ -30,7 +30,7 @@
         void received(InetSocketAddress from, byte[] datagram);
     }
 
-    Datagrams(XnioWorker worker, InetSocketAddress address, Receiver receiver) throws IOException {
+    UdpSocket(XnioWorker worker, InetSocketAddress address, Receiver receiver) throws IOException {
         this.receiver = receiver;
         channel = worker.createUdpServer(address, null, OptionMap.EMPTY);
         channel.getReadSetter().set(readable -> receive());
--- a/src/main/java/cypressglade/peer/PeerReport.java
+++ b/src/main/java/cypressglade/peer/PeerReport.java
@@ -3,7 +3,7 @@
 import cypressglade.core.MonotonicClock;
 import cypressglade.learn.NodeObservation;
 import cypressglade.member.Member;
-import cypressglade.net.Loop;
+import cypressglade.net.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.security.SecureRandom;
@@ -42,7 +42,7 @@
                         new ArrayList<>(),
                         new LinkedHashMap<>(),
                         MonotonicClock.now());
-        try (Loop loop = new Loop()) {
+        try (EventLoop loop = new EventLoop()) {
             new TransferClient(
                             loop, Optional.empty(), Runnable::run, new SecureRandom(), () -> keys)
                     .pull(
--- a/src/main/java/cypressglade/peer/Peers.java
+++ b/src/main/java/cypressglade/peer/Peers.java
@@ -18,8 +18,8 @@
 import cypressglade.member.RecentMembers;
 import cypressglade.member.ReplayGuard;
 import cypressglade.member.Swim;
-import cypressglade.net.Datagrams;
-import cypressglade.net.Loop;
+import cypressglade.net.EventLoop;
+import cypressglade.net.UdpSocket;
 import cypressglade.share.Allocation;
 import cypressglade.share.Notice;
 import cypressglade.share.ShareKey;
@@ -80,7 +80,7 @@
     private static final int MOST_SHORT_ANSWERS = 50;
 
     private final PeersConfig config;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Engine engine;
     private final Counters counters;
     private final SecureRandom random = new SecureRandom();
@@ -110,13 +110,13 @@
     private Swim swim;
     private Optional<View> view = Optional.empty();
     private Optional<SharingProtocol<InetSocketAddress>> sharing = Optional.empty();
-    private Datagrams datagrams;
+    private UdpSocket datagrams;
     private TransferServer transfers;
     private TransferClient client;
     private int shortAnswers;
     private boolean closed;
 
-    public Peers(PeersConfig config, Loop loop, Engine engine, Counters counters) {
+    public Peers(PeersConfig config, EventLoop loop, Engine engine, Counters counters) {
         this(config, loop, engine, counters, verdict -> {});
     }
 
@@ -126,7 +126,7 @@
      */
     public Peers(
             PeersConfig config,
-            Loop loop,
+            EventLoop loop,
             Engine engine,
             Counters counters,
             Consumer<Verdict> ruling) {
@@ -418,7 +418,7 @@
         for (int i = 1; transfers == null; i++) {
             TransferServer server = new TransferServer(loop, listen, random, this::asked);
             try {
-                datagrams = loop.datagrams(server.address(), this::received);
+                datagrams = loop.openUdpSocket(server.address(), this::received);
                 transfers = server;
             } catch (IOException taken) {
                 server.close();
@@ -641,7 +641,7 @@
     private void take(InetSocketAddress from, byte[] datagram) {
         counters.add(Name.PEER_MESSAGES);
         try {
-            if (datagram.length > Datagrams.MOST_BYTES) {
+            if (datagram.length > UdpSocket.MAX_DATAGRAM_BYTES) {
                 throw new Sealed.Refused(Sealed.Fault.BODY);
             }
             Envelope envelope = Codec.envelope(Sealed.open(keys, datagram));
--- a/src/main/java/cypressglade/peer/TransferClient.java
+++ b/src/main/java/cypressglade/peer/TransferClient.java
@@ -2,8 +2,8 @@
 
 import cypressglade.core.MonotonicClock;
 import cypressglade.member.Member;
-import cypressglade.net.Loop;
-import cypressglade.net.Wire;
+import cypressglade.net.Connection;
+import cypressglade.net.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -24,7 +24,7 @@
 final class TransferClient {
     static final Duration MOST = Duration.ofSeconds(2);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Optional<InetSocketAddress> local;
     private final Executor owner;
     private final SecureRandom random;
@@ -49,7 +49,7 @@
      * @param owner runs what the listeners hear of
      */
     TransferClient(
-            Loop loop,
+            EventLoop loop,
             Optional<InetSocketAddress> local,
             Executor owner,
             SecureRandom random,
@@ -66,12 +66,12 @@
     }
 
     /** The socket is the I/O thread's; what the frames say is the owner's. */
-    private final class Pull implements Wire.Listener {
+    private final class Pull implements Connection.Listener {
         private final int mostWords;
         private final Listener listener;
         private final Frames frames = new Frames(this::frame);
-        private Loop.Dial dial;
-        private Wire wire;
+        private EventLoop.Dial dial;
+        private Connection wire;
         private boolean over;
         // The owner's alone.
         private Instant asked;
@@ -85,9 +85,9 @@
         }
 
         void start(InetSocketAddress from) {
-            loop.after(MOST, () -> end("no answer in time"));
+            loop.executeAfter(MOST, () -> end("no answer in time"));
             dial =
-                    loop.dial(
+                    loop.connect(
                             local,
                             from,
                             up -> {
@@ -96,7 +96,7 @@
                                     return;
                                 }
                                 wire = up;
-                                wire.listen(this);
+                                wire.readInto(this);
                             },
                             () -> end("no connection"));
         }
--- a/src/main/java/cypressglade/peer/TransferServer.java
+++ b/src/main/java/cypressglade/peer/TransferServer.java
@@ -1,8 +1,8 @@
 package cypressglade.peer;
 
-import cypressglade.net.Listening;
-import cypressglade.net.Loop;
-import cypressglade.net.Wire;
+import cypressglade.net.Connection;
+import cypressglade.net.EventLoop;
+import cypressglade.net.ListeningSocket;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -22,11 +22,11 @@
     private static final int MOST_OPEN = 4;
     private static final Duration MOST_OPEN_FOR = Duration.ofSeconds(3);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final SecureRandom random;
     private final Handler handler;
-    private final Listening listening;
-    private final Set<Wire> open = new HashSet<>();
+    private final ListeningSocket listening;
+    private final Set<Connection> open = new HashSet<>();
 
     /** Makes answers; called on the I/O thread, which it must not hold up. */
     interface Handler {
@@ -38,30 +38,30 @@
      */
     interface Reply extends Consumer<List<byte[]>> {}
 
-    TransferServer(Loop loop, InetSocketAddress listen, SecureRandom random, Handler handler)
+    TransferServer(EventLoop loop, InetSocketAddress listen, SecureRandom random, Handler handler)
             throws IOException {
         this.loop = loop;
         this.random = random;
         this.handler = handler;
         listening = loop.listen(listen, this::accepted);
-        listening.bound(MOST_OPEN);
+        listening.setMaxConnections(MOST_OPEN);
     }
 
     InetSocketAddress address() {
         return listening.address();
     }
 
-    private void accepted(Wire wire) {
+    private void accepted(Connection wire) {
         Served served = new Served(wire);
         open.add(wire);
-        wire.listen(served);
+        wire.readInto(served);
         wire.send(Frames.frame(Frames.nonce(served.nonce)));
         // Guards against who connects and says nothing, or asks and does not read.
-        loop.after(MOST_OPEN_FOR, () -> end(wire));
+        loop.executeAfter(MOST_OPEN_FOR, () -> end(wire));
     }
 
     /** The one place where a connection is given back. */
-    private void end(Wire wire) {
+    private void end(Connection wire) {
         if (open.remove(wire)) {
             wire.close();
         }
@@ -73,13 +73,13 @@
         loop.execute(() -> List.copyOf(open).forEach(this::end));
     }
 
-    private final class Served implements Wire.Listener {
-        private final Wire wire;
+    private final class Served implements Connection.Listener {
+        private final Connection wire;
         private final long nonce = random.nextLong();
         private final Frames frames = new Frames(this::question);
         private boolean asked;
 
-        Served(Wire wire) {
+        Served(Connection wire) {
             this.wire = wire;
         }
 
--- a/src/test/java/cypressglade/http/ConnectionEndsTest.java
+++ b/src/test/java/cypressglade/http/ConnectionEndsTest.java
@@ -9,7 +9,7 @@
 import cypressglade.core.Engine;
 import cypressglade.core.NodeDirectory;
 import cypressglade.core.RequestPool;
-import cypressglade.net.Loop;
+import cypressglade.net.EventLoop;
 import cypressglade.net.NodePool;
 import cypressglade.standin.HttpPeer;
 import cypressglade.standin.HttpPeer.Message;
@@ -102,7 +102,7 @@
         Counters counters = new Counters();
         NodeDirectory directory = new NodeDirectory();
         Config config = Site.config(Site.entry(0, node.hostPort(), "active", 0), "127.0.0.1:1");
-        try (Loop loop = new Loop();
+        try (EventLoop loop = new EventLoop();
                 Engine engine = new Engine(config.settings(), directory, counters);
                 RequestPool pool = new RequestPool(9, 0, counters)) {
             NodeClient nodes =
--- a/src/test/java/cypressglade/http/DiscoveryWatchTest.java
+++ b/src/test/java/cypressglade/http/DiscoveryWatchTest.java
@@ -8,7 +8,7 @@
 import cypressglade.core.NodeDirectory;
 import cypressglade.core.NodeList;
 import cypressglade.http.DiscoveryWatch.Limits;
-import cypressglade.net.Loop;
+import cypressglade.net.EventLoop;
 import cypressglade.standin.HttpPeer;
 import cypressglade.standin.StandIn;
 import java.io.DataOutputStream;
@@ -45,7 +45,7 @@
     private final LinkedBlockingQueue<NodeList> told = new LinkedBlockingQueue<>();
     private final Counters counters = new Counters();
 
-    private DiscoveryWatch watch(Loop loop, InetSocketAddress address) {
+    private DiscoveryWatch watch(EventLoop loop, InetSocketAddress address) {
         DiscoveryWatch watch =
                 new DiscoveryWatch(
                         loop,
@@ -100,7 +100,7 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 7, 1000})
     void aListOverManyLinesAndInPiecesIsTakenAsOne(int size) throws Exception {
-        try (Loop loop = new Loop();
+        try (EventLoop loop = new EventLoop();
                 HttpPeer agent =
                         new HttpPeer(
                                 (request, out) -> {
@@ -135,7 +135,7 @@
             })
     void aCallThatFailsIsMadeAgainInTime(String first) throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        try (Loop loop = new Loop();
+        try (EventLoop loop = new EventLoop();
                 HttpPeer agent =
                         new HttpPeer(
                                 (request, out) -> {
@@ -165,7 +165,7 @@
     @Test
     void aConnectionThatNeverComesUpHoldsNothingUp() throws Exception {
         List<Socket> fillers = new ArrayList<>();
-        try (Loop loop = new Loop();
+        try (EventLoop loop = new EventLoop();
                 ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 HttpPeer agent =
                         new HttpPeer(
@@ -191,7 +191,7 @@
                 Thread.onSpinWait();
             }
             assertThat(counters.get(Counters.Name.WATCH_BROKEN)).isGreaterThanOrEqualTo(2);
-            watch.use(agent.address(), new NodeListParser(List.of("a"), List.of("m")));
+            watch.reconfigure(agent.address(), new NodeListParser(List.of("a"), List.of("m")));
             assertDrainIsTold();
         } finally {
             for (Socket filler : fillers) {
@@ -209,7 +209,7 @@
         String oneAndAHalf = "{\"version\":1,\"full\":false,\"servers\":[]}\n{\"version\":7,";
         AtomicInteger calls = new AtomicInteger();
         CountDownLatch again = new CountDownLatch(1);
-        try (Loop loop = new Loop();
+        try (EventLoop loop = new EventLoop();
                 HttpPeer agent =
                         new HttpPeer(
                                 (request, out) -> {
@@ -236,12 +236,12 @@
     void whatIsNoStreamOfObjectsIsToldAtItsFirstWrongByte(String text) {
         JsonFraming framing =
                 new JsonFraming(
-                        new JsonFraming.Taker() {
+                        new JsonFraming.Handler() {
                             @Override
                             public void object(byte[] whole) {}
 
                             @Override
-                            public void line() {}
+                            public void lineRead() {}
                         });
         assertThatThrownBy(
                         () ->
--- a/src/test/java/cypressglade/http/LoadReportTest.java
+++ b/src/test/java/cypressglade/http/LoadReportTest.java
@@ -29,7 +29,8 @@
             99999 | 5    | 65535 | 5
             """)
     void useAndUnitsByOthers(String volumeLoad, String otherHosts, int used, int byOthers) {
-        NodeLink.ResponseMetadata told = new LoadReport(volumeLoad, otherHosts, "").told(NAMES);
+        NodeLink.ResponseMetadata told =
+                new LoadReport(volumeLoad, otherHosts, "").toResponseMetadata(NAMES);
         assertThat(told.usePercentPlusOne()).isEqualTo(used);
         assertThat(told.unitsByOthers()).isEqualTo(byOthers);
         assertThat(told.load()).isEmpty();
@@ -39,7 +40,7 @@
     void loadIsTakenByTheNamesOfTheSettingsInTheirOrder() {
         assertThat(
                         new LoadReport("", "", "TEXT latency_ms=41.5, inflight=7, queue=2")
-                                .told(NAMES)
+                                .toResponseMetadata(NAMES)
                                 .load())
                 .containsExactly(2f, 41.5f);
     }
@@ -56,21 +57,24 @@
             ''
             """)
     void aReportThatIsNotWholeTellsNoLoad(String metrics) {
-        assertThat(new LoadReport("", "", metrics).told(NAMES).load()).isEmpty();
+        assertThat(new LoadReport("", "", metrics).toResponseMetadata(NAMES).load()).isEmpty();
     }
 
     @Test
     void namesAreTakenWhateverTheirCase() {
         assertThat(
                         new LoadReport("", "", "text Queue=2, LATENCY_MS=4")
-                                .told(List.of("queue", "Latency_ms"))
+                                .toResponseMetadata(List.of("queue", "Latency_ms"))
                                 .load())
                 .containsExactly(2f, 4f);
     }
 
     @Test
     void aNameToldTwiceCountsOnce() {
-        assertThat(new LoadReport("", "", "TEXT queue=2, queue=9, latency_ms=4").told(NAMES).load())
+        assertThat(
+                        new LoadReport("", "", "TEXT queue=2, queue=9, latency_ms=4")
+                                .toResponseMetadata(NAMES)
+                                .load())
                 .containsExactly(2f, 4f);
     }
 }
--- a/src/test/java/cypressglade/http/NodeClientTest.java
+++ b/src/test/java/cypressglade/http/NodeClientTest.java
@@ -9,7 +9,7 @@
 import cypressglade.core.NodeList;
 import cypressglade.core.Scheduler.State;
 import cypressglade.core.Scheduler.Status;
-import cypressglade.net.Loop;
+import cypressglade.net.EventLoop;
 import cypressglade.net.NodePool;
 import cypressglade.standin.HttpPeer;
 import cypressglade.standin.StandIn;
@@ -36,7 +36,7 @@
     private static NodeLink.AttemptResult exchange(HttpPeer.Script script) throws Exception {
         NodeDirectory directory = new NodeDirectory();
         try (HttpPeer node = new HttpPeer(script);
-                Loop loop = new Loop()) {
+                EventLoop loop = new EventLoop()) {
             directory.update(
                     new NodeList(
                             1,
--- a/src/test/java/cypressglade/http/ResponseParserTest.java
+++ b/src/test/java/cypressglade/http/ResponseParserTest.java
@@ -50,7 +50,7 @@
         assertThat(parser.feed(all)).isTrue();
         assertThat(parser.status()).isEqualTo(status);
         assertThat(body).hasToString(data);
-        assertThat(parser.reusable()).isEqualTo(reusable);
+        assertThat(parser.isReusable()).isEqualTo(reusable);
         assertThat(parser.neverRan()).isEqualTo(neverRan);
     }
 
@@ -98,8 +98,8 @@
     void endOfTheConnectionEndsOnlyAnAnswerWithoutALength(String text, boolean whole)
             throws IOException {
         assertThat(parser.feed(bytes(text))).isFalse();
-        assertThat(parser.ended()).isEqualTo(whole);
-        assertThat(parser.reusable()).isFalse();
+        assertThat(parser.readEndOfStream()).isEqualTo(whole);
+        assertThat(parser.isReusable()).isFalse();
     }
 
     @ParameterizedTest
--- a/src/test/java/cypressglade/net/NodePoolTest.java
+++ b/src/test/java/cypressglade/net/NodePoolTest.java
@@ -62,7 +62,7 @@
                 .new Exchange(
                         number, MonotonicClock.now().plus(time), () -> wanted, ended::complete) {
                     @Override
-                    protected void prepare(Wire fresh, Runnable ready, Runnable unusable) {
+                    protected void prepare(Connection fresh, Runnable ready, Runnable unusable) {
                         prepares.accept(ready);
                     }
 
@@ -83,7 +83,7 @@
                     }
 
                     @Override
-                    protected boolean reusable() {
+                    protected boolean isReusable() {
                         return true;
                     }
 
@@ -99,7 +99,7 @@
     @Test
     void idleConnectionIsClosedWellBeforeTheNodesLimitAndUnknownNodesGetNothing() throws Exception {
         try (node;
-                Loop loop = new Loop()) {
+                EventLoop loop = new EventLoop()) {
             NodePool pool = pool(loop);
             assertThat(exchange(pool, 1, LONG, Runnable::run).status()).isEqualTo(Status.OK);
             assertThat(nodeSawTheEnd.await(5, TimeUnit.SECONDS)).isTrue();
@@ -113,7 +113,7 @@
     @Test
     void slowConnectionSpeaksOfTheNodeOnlyWhereTheRequestHadTime() throws Exception {
         try (node;
-                Loop loop = new Loop()) {
+                EventLoop loop = new EventLoop()) {
             NodePool pool = pool(loop);
             assertThat(exchange(pool, 1, Duration.ofMillis(20), ready -> {}).status())
                     .isEqualTo(Status.MOOT);
@@ -128,7 +128,7 @@
     @Test
     void drainToldWhileAConnectionComesUpHoldsTheRequestBack() throws Exception {
         try (node;
-                Loop loop = new Loop()) {
+                EventLoop loop = new EventLoop()) {
             NodePool pool = pool(loop);
             assertThat(
                             exchange(
@@ -155,7 +155,7 @@
     void whatChangesWhileAConnectionComesUpHoldsTheRequestBack(boolean clientLeaves, Status status)
             throws Exception {
         try (node;
-                Loop loop = new Loop()) {
+                EventLoop loop = new EventLoop()) {
             NodePool pool = pool(loop);
             InetSocketAddress elsewhere = new InetSocketAddress(node.address().getAddress(), 1);
             Status ended =
@@ -182,7 +182,7 @@
     @Test
     void whatIsNotWantedIsNotDialled() throws Exception {
         try (node;
-                Loop loop = new Loop()) {
+                EventLoop loop = new EventLoop()) {
             wanted = false;
             assertThat(exchange(pool(loop), 1, LONG, Runnable::run).status())
                     .isEqualTo(Status.MOOT);
@@ -197,7 +197,7 @@
     @Test
     void idleConnectionFromBeforeTheNodesStartIsNotUsed() throws Exception {
         try (node;
-                Loop loop = new Loop()) {
+                EventLoop loop = new EventLoop()) {
             tell(State.READY);
             NodePool pool =
                     new NodePool(
@@ -236,7 +236,7 @@
     @Test
     void idleConnectionGoesWithItsNode() throws Exception {
         try (node;
-                Loop loop = new Loop()) {
+                EventLoop loop = new EventLoop()) {
             tell(State.READY);
             NodePool pool =
                     new NodePool(
@@ -260,7 +260,7 @@
     void connectionThatNeverComesUpEndsByItsLimit() throws Exception {
         List<Socket> fillers = new ArrayList<>();
         try (node;
-                Loop loop = new Loop();
+                EventLoop loop = new EventLoop();
                 ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             InetSocketAddress address = (InetSocketAddress) deaf.getLocalSocketAddress();
             try {
@@ -296,7 +296,7 @@
                                         "s-0", address, 0, 0, 0, state, 1, Instant.EPOCH))));
     }
 
-    private NodePool pool(Loop loop) {
+    private NodePool pool(EventLoop loop) {
         tell(State.READY);
         return new NodePool(
                 loop, directory, new Counters(), Duration.ofMillis(250), Duration.ofMillis(200), 4);
--- a/src/test/java/cypressglade/peer/LearningMeasure.java
+++ b/src/test/java/cypressglade/peer/LearningMeasure.java
@@ -12,7 +12,7 @@
 import cypressglade.measure.Figures;
 import cypressglade.member.Member.State;
 import cypressglade.member.SwimSettings;
-import cypressglade.net.Loop;
+import cypressglade.net.EventLoop;
 import cypressglade.snapshot.SnapshotStore;
 import cypressglade.standin.Site;
 import cypressglade.standin.StorageNode;
@@ -273,7 +273,7 @@
         new SnapshotStore(directory, "learned")
                 .write(Codec.snapshot("full", words, now), Instant.now());
         Config config = Site.config(Site.entry(0, "127.0.0.1:1", "active", 0), "127.0.0.1:1");
-        try (Loop loop = new Loop();
+        try (EventLoop loop = new EventLoop();
                 Engine engine =
                         new Engine(config.settings(), new NodeDirectory(), new Counters())) {
             engine.start(node -> null);
