--- a/src/main/java/cypressglade/cli/Rehearsal.java
+++ b/src/main/java/cypressglade/cli/Rehearsal.java
@@ -162,7 +162,8 @@
         PipeLoop() throws IOException {}
 
         @Override
-        public Dial connect(InetSocketAddress address, Consumer<Connection> up, Runnable down) {
+        public EventLoop.PendingConnection connect(
+                InetSocketAddress address, Consumer<Connection> up, Runnable down) {
             execute(
                     () -> {
                         Connection[] ends = connectedPair();
--- a/src/main/java/cypressglade/http/DiscoveryWatch.java
+++ b/src/main/java/cypressglade/http/DiscoveryWatch.java
@@ -151,7 +151,7 @@
     private final class Watch implements Connection.Listener, JsonFraming.Handler {
         private final ResponseParser parser = new ResponseParser(this::take, Long.MAX_VALUE);
         private final JsonFraming objects = new JsonFraming(this);
-        private EventLoop.Dial dial;
+        private EventLoop.PendingConnection dial;
         private Connection wire;
         private XnioExecutor.Key limit = () -> false;
         private boolean listed;
--- a/src/main/java/cypressglade/net/EventLoop.java
+++ b/src/main/java/cypressglade/net/EventLoop.java
@@ -105,12 +105,13 @@
     }
 
     /** Connects; either {@code up} or {@code down} is called, once, on this thread. */
-    public Dial connect(InetSocketAddress address, Consumer<Connection> up, Runnable down) {
+    public EventLoop.PendingConnection connect(
+            InetSocketAddress address, Consumer<Connection> up, Runnable down) {
         return connect(Optional.empty(), address, up, down);
     }
 
     /** The same, from a local address; from whichever the route gives where there is none. */
-    public Dial connect(
+    public EventLoop.PendingConnection connect(
             Optional<InetSocketAddress> from,
             InetSocketAddress address,
             Consumer<Connection> up,
@@ -218,7 +219,7 @@
     }
 
     /** A connection that is coming up. */
-    public interface Dial {
+    public interface PendingConnection {
         void cancel();
     }
 }
--- a/src/main/java/cypressglade/net/NodePool.java
+++ b/src/main/java/cypressglade/net/NodePool.java
@@ -179,7 +179,7 @@
         private final BooleanSupplier wanted;
         private final Consumer<NodeLink.AttemptResult> ended;
         private String use;
-        private EventLoop.Dial dial;
+        private EventLoop.PendingConnection dial;
         private Connection wire;
         private XnioExecutor.Key limit;
         private Instant opened = MonotonicClock.now();
--- a/src/main/java/cypressglade/peer/TransferClient.java
+++ b/src/main/java/cypressglade/peer/TransferClient.java
@@ -70,7 +70,7 @@
         private final int mostWords;
         private final Listener listener;
         private final Frames frames = new Frames(this::frame);
-        private EventLoop.Dial dial;
+        private EventLoop.PendingConnection dial;
         private Connection wire;
         private boolean over;
         // The owner's alone.
