--- a/src/main/java/cypressglade/http/DiscoveryWatch.java
+++ b/src/main/java/cypressglade/http/DiscoveryWatch.java
@@ -17,123 +17,140 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Watches discovery and hands on what it tells; connects again with the last version after any
- * break. Each step of a watch has a limit, so that what a dead one misses is here before it counts
- * as told: the design has the arithmetic, {@link Limits} the figures.
+ * Watches the node list of the discovery service by an HTTP stream, and passes on each list. After
+ * any failure it connects again and continues from the last known version. Each step of a watch has
+ * a time limit, so that a change that a dead watch misses arrives before the platform expects this
+ * program to know it; {@link Limits} has the values.
  */
 public final class DiscoveryWatch {
     private static final System.Logger LOG = System.getLogger(DiscoveryWatch.class.getName());
 
     private final EventLoop loop;
     private InetSocketAddress address;
-    private NodeListParser lists;
+    private NodeListParser listParser;
     private final NodeDirectory directory;
-    private final Consumer<NodeList> told;
+    private final Consumer<NodeList> listConsumer;
     private final Counters counters;
     private final Limits limits;
-    private final CountDownLatch answered = new CountDownLatch(1);
+    private final CountDownLatch firstList = new CountDownLatch(1);
     private Watch current;
-    private String logged = "";
-    private boolean fromTheStart;
-    private int unanswered;
+    private String lastLoggedReason = "";
+    private boolean fullListNeeded;
+    private int unansweredCalls;
 
     /**
-     * How long each step of a watch may take.
+     * The time limits of a watch's steps.
      *
-     * @param connect until its connection is up
-     * @param answer until the first object of the answer, for the first call after one that was
-     *     answered
-     * @param mostAnswer the same at the most: it doubles with each call that was not answered, as a
-     *     discovery that works through calls one after the other would never come to the end of
-     *     those that are given up
-     * @param silence between two signs of life, of which one comes every 2 s
-     * @param again from a break to the next connection
+     * @param connectTimeout until the connection is open
+     * @param responseTimeout until the first object of the response, for the first call after one
+     *     that was answered
+     * @param maxResponseTimeout the upper bound of the response timeout, which doubles with each
+     *     unanswered call: a discovery service that handles calls one after the other would
+     *     otherwise be kept busy with abandoned calls for ever
+     * @param silenceTimeout between two lists or keep-alive messages; one is sent every 2 s
+     * @param reconnectDelay from a failure to the next connection
      */
     record Limits(
-            Duration connect,
-            Duration answer,
-            Duration mostAnswer,
-            Duration silence,
-            Duration again) {
-        private static final Duration CONNECT = Duration.ofMillis(500);
-        private static final Duration SILENCE = Duration.ofSeconds(3);
-        private static final Duration AGAIN = Duration.ofMillis(200);
+            Duration connectTimeout,
+            Duration responseTimeout,
+            Duration maxResponseTimeout,
+            Duration silenceTimeout,
+            Duration reconnectDelay) {
+        private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
+        private static final Duration SILENCE_TIMEOUT = Duration.ofSeconds(3);
+        private static final Duration RECONNECT_DELAY = Duration.ofMillis(200);
 
         /**
-         * An agent on this machine answers at once; once discovery is back, it may be a new call
-         * only.
+         * For an agent on this machine, to which lists are pushed. It answers at once, but after an
+         * outage of discovery it may answer only a new call.
          */
-        static final Limits PUSHED =
-                new Limits(CONNECT, Duration.ofSeconds(1), Duration.ofSeconds(1), SILENCE, AGAIN);
+        static final Limits LOCAL_AGENT =
+                new Limits(
+                        CONNECT_TIMEOUT,
+                        Duration.ofSeconds(1),
+                        Duration.ofSeconds(1),
+                        SILENCE_TIMEOUT,
+                        RECONNECT_DELAY);
 
-        /** One discovery for all. */
-        static final Limits ASKED =
-                new Limits(CONNECT, Duration.ofSeconds(2), Duration.ofSeconds(4), SILENCE, AGAIN);
+        /** For a central discovery service that all instances call. */
+        static final Limits CENTRAL_SERVICE =
+                new Limits(
+                        CONNECT_TIMEOUT,
+                        Duration.ofSeconds(2),
+                        Duration.ofSeconds(4),
+                        SILENCE_TIMEOUT,
+                        RECONNECT_DELAY);
 
-        /** From the last sign of life of a watch that falls silent until the next call is made. */
-        Duration found() {
-            return silence.plus(again);
+        /** The longest time from the last message of a watch that falls silent to the next call. */
+        Duration maxDetectionTime() {
+            return silenceTimeout.plus(reconnectDelay);
         }
 
-        /** What a call that fails in its worst way takes, until the next one is made. */
-        Duration failed() {
-            return connect.plus(answer).plus(again);
+        /** The longest time from the start of a call that fails to the next call. */
+        Duration maxFailedCallTime() {
+            return connectTimeout.plus(responseTimeout).plus(reconnectDelay);
         }
 
-        private Duration answerAfter(int unansweredCalls) {
-            Duration doubled = answer.multipliedBy(1L << Math.min(unansweredCalls, 3));
-            return doubled.compareTo(mostAnswer) < 0 ? doubled : mostAnswer;
+        private Duration responseTimeoutAfter(int unansweredCalls) {
+            Duration doubled = responseTimeout.multipliedBy(1L << Math.min(unansweredCalls, 3));
+            return doubled.compareTo(maxResponseTimeout) < 0 ? doubled : maxResponseTimeout;
         }
     }
 
     /**
-     * One that begins with {@link #start}; {@code asked} where lists are not pushed to an agent
-     * here.
+     * Creates a watch that begins with {@link #start}.
+     *
+     * @param directory gives the version to continue from
+     * @param listConsumer gets each list, on the I/O thread
+     * @param centralService whether {@code address} is a central service, and not an agent on this
+     *     machine
      */
     public DiscoveryWatch(
             EventLoop loop,
             InetSocketAddress address,
-            NodeListParser lists,
+            NodeListParser listParser,
             NodeDirectory directory,
-            Consumer<NodeList> told,
+            Consumer<NodeList> listConsumer,
             Counters counters,
-            boolean asked) {
+            boolean centralService) {
         this.loop = loop;
         this.address = address;
-        this.lists = lists;
+        this.listParser = listParser;
         this.directory = directory;
-        this.told = told;
+        this.listConsumer = listConsumer;
         this.counters = counters;
-        this.limits = asked ? Limits.ASKED : Limits.PUSHED;
+        this.limits = centralService ? Limits.CENTRAL_SERVICE : Limits.LOCAL_AGENT;
     }
 
+    /** Starts the watch; may be called from any thread. */
     public void start() {
         loop.execute(this::open);
     }
 
     /**
-     * Waits for the first list, whatever is in it; false where none came in time, as while
-     * discovery is down.
+     * Waits for the first list, which may be empty. Must not be called on the I/O thread.
+     *
+     * @return whether a list arrived in time; false, for example, while discovery is down
      */
-    public boolean awaitFirstList(Duration most) throws InterruptedException {
-        return answered.await(most.toMillis(), TimeUnit.MILLISECONDS);
+    public boolean awaitFirstList(Duration timeout) throws InterruptedException {
+        return firstList.await(timeout.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Takes a new address at once: the old one ends its watches soon, and what the new one has
-     * counts as told. Versions of another source need not go on from ours, so its list is asked for
-     * whole.
+     * Switches to a new address at once, from any thread: the old service ends its watches soon,
+     * and the platform expects this program to know what the new one lists. Its versions need not
+     * continue those of the old one, so the full list is requested.
      */
-    public void reconfigure(InetSocketAddress next, NodeListParser nextLists) {
+    public void reconfigure(InetSocketAddress nextAddress, NodeListParser nextListParser) {
         loop.execute(
                 () -> {
-                    lists = nextLists;
-                    if (!next.equals(address)) {
-                        address = next;
-                        fromTheStart = true;
-                        unanswered = 0;
+                    listParser = nextListParser;
+                    if (!nextAddress.equals(address)) {
+                        address = nextAddress;
+                        fullListNeeded = true;
+                        unansweredCalls = 0;
                         if (current != null) {
-                            current.drop();
+                            current.abandon();
                         }
                         open();
                     }
@@ -141,7 +158,7 @@
     }
 
     private void open() {
-        if (current == null) { // else a watch on a new address came first
+        if (current == null) { // otherwise a new address has already started a watch
             current = new Watch();
             current.open();
         }
@@ -149,38 +166,41 @@
 
     /** One watch, on one connection. */
     private final class Watch implements Connection.Listener, JsonFraming.Handler {
-        private final ResponseParser parser = new ResponseParser(this::take, Long.MAX_VALUE);
-        private final JsonFraming objects = new JsonFraming(this);
-        private EventLoop.PendingConnection dial;
-        private Connection wire;
-        private XnioExecutor.Key limit = () -> false;
-        private boolean listed;
+        private final ResponseParser parser = new ResponseParser(this::readBody, Long.MAX_VALUE);
+        private final JsonFraming framing = new JsonFraming(this);
+        private EventLoop.PendingConnection pendingConnection;
+        private Connection connection;
+        private XnioExecutor.Key timer = () -> false;
+        private boolean isListReceived;
 
         private void open() {
-            expect(limits.connect(), "no connection in time");
-            dial = loop.connect(address, this::connected, () -> broken("no connection"));
+            startTimer(limits.connectTimeout(), "connect timed out");
+            pendingConnection =
+                    loop.connect(address, this::handleConnected, () -> restart("connect failed"));
         }
 
-        /** The next step has so long from now; the last one is done. */
-        private void expect(Duration most, String otherwise) {
-            limit.remove();
-            limit = loop.executeAfter(most, () -> broken(otherwise));
+        /**
+         * Replaces the timer: the watch restarts for this reason unless its next step ends in time.
+         */
+        private void startTimer(Duration timeout, String reason) {
+            timer.remove();
+            timer = loop.executeAfter(timeout, () -> restart(reason));
         }
 
-        private void connected(Connection up) {
-            dial = null;
+        private void handleConnected(Connection up) {
+            pendingConnection = null;
             if (current != this) {
                 up.close();
                 return;
             }
-            wire = up;
-            wire.readInto(this);
-            expect(limits.answerAfter(unanswered), "not answered");
-            unanswered++;
-            wire.send(
+            connection = up;
+            connection.readInto(this);
+            startTimer(limits.responseTimeoutAfter(unansweredCalls), "no response in time");
+            unansweredCalls++;
+            connection.send(
                     ResponseParser.ascii(
                             "GET /v1/servers?stream=1&index="
-                                    + (fromTheStart ? 0 : directory.version())
+                                    + (fullListNeeded ? 0 : directory.version())
                                     + " HTTP/1.1\r\nHost: discovery\r\n\r\n"));
         }
 
@@ -188,75 +208,77 @@
         public void received(ByteBuffer in) throws IOException {
             try {
                 if (parser.feed(in)) {
-                    broken("ended");
+                    restart("stream ended");
                 }
-            } catch (IOException spoilt) {
-                broken(spoilt.getMessage());
+            } catch (IOException malformed) {
+                restart(malformed.getMessage());
             }
         }
 
         @Override
         public void ended() {
-            broken("ended");
+            restart("stream ended");
         }
 
         @Override
         public void failed() {
-            broken("reset");
+            restart("connection failed");
         }
 
-        private void take(ByteBuffer part) throws IOException {
+        private void readBody(ByteBuffer part) throws IOException {
             if (parser.status() != 200) {
                 throw new IOException("status " + parser.status());
             }
-            objects.feed(part);
+            framing.feed(part);
         }
 
         @Override
         public void object(byte[] text) throws IOException {
             NodeList list;
             try {
-                list = lists.parse(text, 0, text.length);
+                list = listParser.parse(text, 0, text.length);
             } catch (ConfigException bad) {
                 throw new IOException(bad.getMessage(), bad);
             }
-            told.accept(list);
-            fromTheStart = false;
-            unanswered = 0;
-            logged = "";
-            listed = true;
-            answered.countDown();
-            expect(limits.silence(), "silent");
+            listConsumer.accept(list);
+            fullListNeeded = false;
+            unansweredCalls = 0;
+            lastLoggedReason = "";
+            isListReceived = true;
+            firstList.countDown();
+            startTimer(limits.silenceTimeout(), "no keep-alive message in time");
         }
 
-        /** Only what is whole is a sign of life: half an object may be the last that comes. */
+        /**
+         * A line between objects is a keep-alive message. Bytes of an incomplete object are not, as
+         * the rest of it may never arrive.
+         */
         @Override
         public void lineRead() {
-            if (listed) {
-                expect(limits.silence(), "silent");
+            if (isListReceived) {
+                startTimer(limits.silenceTimeout(), "no keep-alive message in time");
             }
         }
 
-        private void drop() {
+        private void abandon() {
             current = null;
-            limit.remove();
-            if (wire != null) {
-                wire.close();
-            } else if (dial != null) {
-                dial.cancel();
+            timer.remove();
+            if (connection != null) {
+                connection.close();
+            } else if (pendingConnection != null) {
+                pendingConnection.cancel();
             }
         }
 
-        private void broken(String why) {
+        private void restart(String reason) {
             if (current == this) {
-                drop();
+                abandon();
                 counters.add(Counters.Name.WATCH_BROKEN);
-                if (!why.equals(
-                        logged)) { // an outage is told once, however often it is tried again
-                    logged = why;
-                    LOG.log(System.Logger.Level.INFO, "discovery watch: {0}", why);
+                if (!reason.equals(lastLoggedReason)) { // logs an outage once, not at each attempt
+                    lastLoggedReason = reason;
+                    LOG.log(System.Logger.Level.INFO, "discovery watch restarts: {0}", reason);
                 }
-                loop.executeAfter(limits.again(), DiscoveryWatch.this::open);
+                loop.executeAfter(limits.reconnectDelay(), DiscoveryWatch.this::open);
             }
         }
     }
--- a/src/main/java/cypressglade/http/JsonFraming.java
+++ b/src/main/java/cypressglade/http/JsonFraming.java
@@ -5,76 +5,82 @@
 import java.nio.ByteBuffer;
 
 /**
- * Cuts a stream into the JSON objects that it holds, one after the other, wherever its bytes were
- * split and over however many lines an object comes. Only where one ends is found here; its reader
- * knows what it says.
+ * Splits a stream of concatenated JSON objects (RFC 8259) into single objects. The input may be
+ * split at any byte, and an object may span any number of lines. It finds only where an object
+ * ends; the handler parses and validates it.
  */
 final class JsonFraming {
-    private static final int MOST_OBJECT = 1 << 20;
-    private static final int FIRST_TEXT_BYTE = ' ';
+    private static final int MAX_OBJECT_BYTES = 1 << 20;
+    private static final int FIRST_PRINTABLE_BYTE = ' ';
 
-    /** Takes what is whole; a failure ends the stream. */
+    /** Receives complete elements of the stream; an exception ends the stream. */
     interface Handler {
-        /** One object, from its first brace to its last. */
+        /**
+         * A complete object, from its first brace to its last.
+         *
+         * @throws IOException where the object is not valid
+         */
         void object(byte[] text) throws IOException;
 
-        /** A line that ended outside any object: a sign of life. */
+        /** The end of a line outside any object: a keep-alive message. */
         void lineRead();
     }
 
-    private final JsonFraming.Handler taker;
+    private final JsonFraming.Handler handler;
     private final ByteArrayOutputStream object = new ByteArrayOutputStream();
     private int depth;
-    private boolean inString;
-    private boolean escaped;
+    private boolean isInString;
+    private boolean isEscaped;
 
-    JsonFraming(JsonFraming.Handler taker) {
-        this.taker = taker;
+    /** Creates a splitter at the start of a stream. */
+    JsonFraming(JsonFraming.Handler handler) {
+        this.handler = handler;
     }
 
     /**
-     * Takes the next bytes.
+     * Reads the next bytes.
      *
-     * @throws IOException where they are no such stream, or an object is too long
+     * @throws IOException where the stream is malformed, an object is longer than 1 MiB, or the
+     *     handler throws
      */
     void feed(ByteBuffer in) throws IOException {
         while (in.hasRemaining()) {
             byte next = in.get();
             if (depth == 0) {
-                between(next);
+                readBetweenObjects(next);
             } else {
-                within(next);
+                readObjectByte(next);
             }
         }
     }
 
-    private void between(byte next) throws IOException {
+    private void readBetweenObjects(byte next) throws IOException {
         if (next == '{') {
             object.write(next);
             depth = 1;
         } else if (next == '\n') {
-            taker.lineRead();
+            handler.lineRead();
         } else if (next != ' ' && next != '\t' && next != '\r') {
             throw new IOException("not a JSON object");
         }
     }
 
-    private void within(byte next) throws IOException {
-        if (object.size() == MOST_OBJECT) {
-            throw new IOException("an object is too long");
+    private void readObjectByte(byte next) throws IOException {
+        if (object.size() == MAX_OBJECT_BYTES) {
+            throw new IOException("JSON object too long");
         }
         object.write(next);
-        if (inString) {
-            // An object that is cut short must not swallow those behind it: no string holds a
-            // line's end.
-            if (next >= 0 && next < FIRST_TEXT_BYTE) {
-                throw new IOException("a control character in a string");
+        if (isInString) {
+            // A JSON string cannot hold a line end, so an object that is cut off inside a string
+            // does not swallow the objects after it.
+            if (next >= 0 && next < FIRST_PRINTABLE_BYTE) {
+                throw new IOException("control character in a JSON string");
             }
-            inString = escaped || next != '"';
-            escaped = !escaped && next == '\\';
+            isInString = isEscaped || next != '"';
+            isEscaped = !isEscaped && next == '\\';
         } else {
             switch (next) {
-                case '"' -> inString = true;
+                case '"' -> isInString = true;
                 case '{', '[' -> depth++;
                 case '}', ']' -> depth--;
                 default -> {}
@@ -82,7 +88,7 @@
             if (depth == 0) {
                 byte[] whole = object.toByteArray();
                 object.reset();
-                taker.object(whole);
+                handler.object(whole);
             }
         }
     }
--- a/src/main/java/cypressglade/http/LoadReport.java
+++ b/src/main/java/cypressglade/http/LoadReport.java
@@ -7,59 +7,78 @@
 import java.util.regex.Pattern;
 
 /**
- * What a node's answer tells beside itself, as it came: {@code Volume-Load} (the volume's use
- * through all schedulers in the last finished second, in percent of its plan's rate, less 1 than
- * the simulator's figure), {@code Other-Hosts} (units that the shard served for the volume through
- * other schedulers since its last answer here) and {@code Endpoint-Load-Metrics} ({@code TEXT
- * name=value, ...}). Each is "" where it was not there.
+ * The load report in the headers of a node's answer, as text.
  *
- * <p>A figure that cannot be read is taken as not told, and the rest of the answer counts: spoilt
- * reports come from nodes whose answers are good. A load report counts only whole, with every name
- * that the settings give, as the module takes what it has as the node's state.
+ * <p>A figure that cannot be parsed counts as absent, and the rest of the answer stays valid, as
+ * malformed reports come from nodes whose answers are good. The load metrics count only if
+ * complete, with every name that the settings give, as the scheduling policy takes them as the
+ * node's state.
+ *
+ * @param volumeLoad {@code Volume-Load}: the volume's use through all schedulers in the last
+ *     finished second, in percent of its plan's rate, less 1 than the simulator's figure; "" where
+ *     absent
+ * @param otherHosts {@code Other-Hosts}: units that the shard served for the volume through other
+ *     schedulers since its last answer here; "" where absent
+ * @param metrics {@code Endpoint-Load-Metrics}: {@code TEXT name=value, ...}; "" where absent
  */
 record LoadReport(String volumeLoad, String otherHosts, String metrics) {
-    /** The wire's figures hold 16 bits. */
-    private static final int MOST = 0xFFFF;
+    /** The figures of the wire protocol have 16 bits. */
+    private static final int MAX_FIGURE = 0xFFFF;
 
-    private static final String TEXT = "TEXT";
+    private static final String TEXT_FORMAT = "TEXT";
     private static final Pattern DECIMAL = Pattern.compile("-?[0-9]{1,12}(\\.[0-9]{1,9})?");
 
-    /** In the module's figures; the load by the names that the settings give, in their order. */
+    /**
+     * The report in the figures of the scheduling policy.
+     *
+     * @param names the names of the load figures, without regard to case; the result's load has
+     *     their order, and is empty where one of them is missing
+     */
     NodeLink.ResponseMetadata toResponseMetadata(List<String> names) {
-        double use = figure(volumeLoad);
-        int used = Double.isNaN(use) || use < 0 ? 0 : (int) Math.min(MOST, Math.round(use) + 1);
-        double others = figure(otherHosts);
-        int byOthers =
-                Double.isNaN(others) || others < 0 ? 0 : (int) Math.min(MOST, Math.round(others));
-        return new NodeLink.ResponseMetadata(used, byOthers, load(names));
+        double usePercent = parseFigure(volumeLoad);
+        int usePercentPlusOne =
+                Double.isNaN(usePercent) || usePercent < 0
+                        ? 0
+                        : (int) Math.min(MAX_FIGURE, Math.round(usePercent) + 1);
+        double otherUnits = parseFigure(otherHosts);
+        int unitsByOthers =
+                Double.isNaN(otherUnits) || otherUnits < 0
+                        ? 0
+                        : (int) Math.min(MAX_FIGURE, Math.round(otherUnits));
+        return new NodeLink.ResponseMetadata(usePercentPlusOne, unitsByOthers, load(names));
     }
 
     private float[] load(List<String> names) {
         String text = metrics.trim();
-        if (names.isEmpty() || !text.regionMatches(true, 0, TEXT, 0, TEXT.length())) {
+        if (names.isEmpty() || !text.regionMatches(true, 0, TEXT_FORMAT, 0, TEXT_FORMAT.length())) {
             return new float[0];
         }
-        List<String> lower = names.stream().map(one -> one.toLowerCase(Locale.ROOT)).toList();
+        List<String> lowerCaseNames =
+                names.stream().map(one -> one.toLowerCase(Locale.ROOT)).toList();
         float[] load = new float[names.size()];
         Arrays.fill(load, Float.NaN);
-        int told = 0;
-        for (String pair : text.substring(TEXT.length()).split(",")) {
-            int equals = pair.indexOf('=');
+        int found = 0;
+        for (String pair : text.substring(TEXT_FORMAT.length()).split(",")) {
+            int separator = pair.indexOf('=');
             String name =
-                    equals < 0 ? "" : pair.substring(0, equals).trim().toLowerCase(Locale.ROOT);
-            int at = name.isEmpty() ? -1 : lower.indexOf(name);
-            double value = at < 0 ? Double.NaN : figure(pair.substring(equals + 1));
-            if (!Double.isNaN(value) && Float.isNaN(load[at])) {
-                load[at] = (float) value;
-                told++;
+                    separator < 0
+                            ? ""
+                            : pair.substring(0, separator).trim().toLowerCase(Locale.ROOT);
+            int index = name.isEmpty() ? -1 : lowerCaseNames.indexOf(name);
+            double value = index < 0 ? Double.NaN : parseFigure(pair.substring(separator + 1));
+            if (!Double.isNaN(value) && Float.isNaN(load[index])) {
+                load[index] = (float) value;
+                found++;
             }
         }
-        return told == names.size() ? load : new float[0];
+        return found == names.size() ? load : new float[0];
     }
 
-    /** A plain decimal number, or NaN: no exponents, signs of infinity or suffixes. */
-    private static double figure(String text) {
-        String plain = text.trim();
-        return DECIMAL.matcher(plain).matches() ? Double.parseDouble(plain) : Double.NaN;
+    /**
+     * Parses a plain decimal number; NaN for all else, such as exponents, infinities or suffixes.
+     */
+    private static double parseFigure(String text) {
+        String trimmed = text.trim();
+        return DECIMAL.matcher(trimmed).matches() ? Double.parseDouble(trimmed) : Double.NaN;
     }
 }
--- a/src/main/java/cypressglade/http/NodeClient.java
+++ b/src/main/java/cypressglade/http/NodeClient.java
@@ -16,35 +16,45 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** The platform's storage nodes: HTTP/1.1. */
+/**
+ * Client of the platform's storage nodes, by HTTP/1.1 (RFC 9112). Its state belongs to the I/O
+ * thread; {@link #reconfigure} may be called from any thread.
+ */
 public final class NodeClient implements NodeLink<HttpWork> {
     /**
-     * Answers of some 400 KB were seen where the protocol speaks of 64 KiB: such an answer is a
-     * good one. Beyond this it is none, and all that are coming in together stay within the budget.
+     * The longest answer body. Nodes send valid answers of some 400 KB although the protocol
+     * specifies 64 KiB. A longer body is an error; the bodies of all answers together are bounded
+     * by the memory budget.
      */
-    private static final int MOST_BODY = 2 << 20;
+    private static final int MAX_BODY_BYTES = 2 << 20;
 
-    /** An answer is written at once: where its rest stays out for so long, it never comes. */
-    private static final Duration MOST_SILENCE = Duration.ofMillis(200);
+    /** Nodes write an answer in one go, so the rest of one that pauses for longer never comes. */
+    private static final Duration MAX_SILENCE = Duration.ofMillis(200);
 
     private final NodePool pool;
     private volatile List<String> loadNames;
-    private volatile int mostComing;
-    private int coming;
+    private volatile int maxBufferedBytes;
+    private int bufferedBytes;
 
     /**
-     * Nodes behind a pool, whose answers may take so much room while they come, and whose load
-     * reports name these figures ({@code Settings.loadNames}).
+     * Creates a client that sends through a pool.
+     *
+     * @param maxBufferedBytes the maximum size of all bodies that are being received at a time
+     * @param loadNames the names of the figures in a node's load report ({@code
+     *     Settings.loadNames})
      */
-    public NodeClient(NodePool pool, int mostComing, List<String> loadNames) {
+    public NodeClient(NodePool pool, int maxBufferedBytes, List<String> loadNames) {
         this.pool = pool;
-        this.mostComing = mostComing;
+        this.maxBufferedBytes = maxBufferedBytes;
         this.loadNames = List.copyOf(loadNames);
     }
 
-    /** Takes a new bound on what is coming in, and the names of a load report. */
-    public void reconfigure(int most, List<String> names) {
-        mostComing = most;
+    /**
+     * Changes the maximum size of all bodies that are being received, in bytes, and the names of
+     * the figures in a load report.
+     */
+    public void reconfigure(int maxBytes, List<String> names) {
+        maxBufferedBytes = maxBytes;
         loadNames = List.copyOf(names);
     }
 
@@ -52,36 +62,37 @@
     public Attempt send(
             long node,
             HttpWork work,
-            Instant until,
+            Instant deadline,
             BooleanSupplier wanted,
-            Consumer<NodeLink.AttemptResult> ended) {
-        return new HttpExchange(node, work::message, until, wanted, ended).start();
+            Consumer<NodeLink.AttemptResult> resultConsumer) {
+        return new HttpExchange(node, work::message, deadline, wanted, resultConsumer).start();
     }
 
     @Override
-    public void probe(long node, Consumer<NodeLink.AttemptResult> ended) {
-        Instant until = MonotonicClock.now().plus(NodePool.PROBE_TIMEOUT);
-        new HttpExchange(node, left -> HttpWork.probe(), until, () -> true, ended).start();
+    public void probe(long node, Consumer<NodeLink.AttemptResult> resultConsumer) {
+        Instant deadline = MonotonicClock.now().plus(NodePool.PROBE_TIMEOUT);
+        new HttpExchange(node, left -> HttpWork.probe(), deadline, () -> true, resultConsumer)
+                .start();
     }
 
     private final class HttpExchange extends NodePool.Exchange {
         private final Function<Duration, List<ByteBuffer>> message;
         private final Body body = new Body();
-        private final ResponseParser parser = new ResponseParser(this::take, MOST_BODY);
+        private final ResponseParser parser = new ResponseParser(this::addToBody, MAX_BODY_BYTES);
 
         HttpExchange(
                 long node,
                 Function<Duration, List<ByteBuffer>> message,
-                Instant until,
+                Instant deadline,
                 BooleanSupplier wanted,
-                Consumer<NodeLink.AttemptResult> ended) {
-            pool.super(node, until, wanted, ended);
+                Consumer<NodeLink.AttemptResult> resultConsumer) {
+            pool.super(node, deadline, wanted, resultConsumer);
             this.message = message;
         }
 
         @Override
-        protected Optional<InetSocketAddress> address(NodeDirectory.ListedNode known) {
-            return Optional.of(known.address());
+        protected Optional<InetSocketAddress> address(NodeDirectory.ListedNode listedNode) {
+            return Optional.of(listedNode.address());
         }
 
         @Override
@@ -101,7 +112,7 @@
 
         @Override
         protected Optional<Duration> maxSilence() {
-            return Optional.of(MOST_SILENCE);
+            return Optional.of(MAX_SILENCE);
         }
 
         @Override
@@ -128,18 +139,18 @@
             return parser.status() == 200 ? Status.OK : Status.ERROR;
         }
 
-        private void take(ByteBuffer part) throws IOException {
-            coming -= body.room();
+        private void addToBody(ByteBuffer part) throws IOException {
+            bufferedBytes -= body.room();
             body.add(part, parser.length());
-            coming += body.room();
-            if (coming > mostComing) {
-                throw new IOException("no room for the answer");
+            bufferedBytes += body.room();
+            if (bufferedBytes > maxBufferedBytes) {
+                throw new IOException("no buffer space left for the response");
             }
         }
 
         @Override
         protected void release() {
-            coming -= body.room();
+            bufferedBytes -= body.room();
         }
     }
 }
--- a/src/main/java/cypressglade/http/ResponseParser.java
+++ b/src/main/java/cypressglade/http/ResponseParser.java
@@ -6,128 +6,144 @@
 import java.util.Locale;
 
 /**
- * Reads one HTTP/1.1 answer, split at any byte; hands on the body as it comes. It takes nothing on
- * trust: where an answer ends must be told plainly, and what cannot be read is found at its first
- * wrong byte, since nothing more may ever come on its connection.
+ * An incremental parser of one HTTP/1.1 response (RFC 9112), whose input may be split at any byte.
+ * It passes on the body as it arrives. It is strict: the end of the response must be unambiguous,
+ * and a malformed response is detected at its first wrong byte, since nothing more may ever arrive
+ * on its connection.
  */
 final class ResponseParser {
-    private static final int MOST_HEAD = 16 * 1024;
-    private static final int MOST_DIGITS = 15;
-    private static final String START = "HTTP/1.";
-    private static final String NAME_SIGNS = "!#$%&'*+-.^_`|~";
+    private static final int MAX_HEAD_BYTES = 16 * 1024;
+    private static final int MAX_LENGTH_DIGITS = 15;
+    private static final String VERSION_PREFIX = "HTTP/1.";
+    private static final String HEADER_NAME_PUNCTUATION = "!#$%&'*+-.^_`|~";
 
-    /** Takes parts of a body; a failure ends the answer. */
+    /** Receives fragments of a body. */
     interface BodyConsumer {
-        void accept(ByteBuffer part) throws IOException;
+        /**
+         * Takes the next fragment; the buffer is valid only during the call.
+         *
+         * @throws IOException to abort the response
+         */
+        void accept(ByteBuffer fragment) throws IOException;
     }
 
-    private enum Part {
-        STATUS,
+    private enum State {
+        STATUS_LINE,
         HEADERS,
         BODY,
         CHUNK_SIZE,
         CHUNK,
         CHUNK_END,
         TRAILERS,
-        TO_END,
+        BODY_TO_END_OF_STREAM,
         DONE
     }
 
     private final ResponseParser.BodyConsumer body;
-    private final long mostBody;
+    private final long maxBodyBytes;
     private final StringBuilder line = new StringBuilder();
-    private Part part = Part.STATUS;
+    private State state = State.STATUS_LINE;
     private int headBytes;
     private int status;
-    private long left = -1;
+    private long remaining = -1;
     private long length = -1;
-    private long taken;
+    private long bodyBytes;
     private boolean chunked;
-    private boolean close;
+    private boolean closesConnection;
     private boolean neverRan;
-    private String volumeLoad = "",
-            otherHosts = "",
-            metrics = ""; // what the answer tells beside itself
+    private String volumeLoad = "", otherHosts = "", loadMetrics = ""; // load report headers
 
-    /** A reader of an answer with a body of so many bytes at most. */
-    ResponseParser(ResponseParser.BodyConsumer body, long mostBody) {
+    /**
+     * Creates a parser for one response.
+     *
+     * @param maxBodyBytes a longer body is an error
+     */
+    ResponseParser(ResponseParser.BodyConsumer body, long maxBodyBytes) {
         this.body = body;
-        this.mostBody = mostBody;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
     /**
-     * Takes what has come; true once the answer is whole. Bytes after its end stay in the buffer.
+     * Parses the next input. Bytes after the end of the response stay in the buffer.
+     *
+     * @return whether the response is complete
+     * @throws IOException where the response is malformed or its body is too long
      */
     boolean feed(ByteBuffer in) throws IOException {
-        while (part != Part.DONE && in.hasRemaining()) {
-            switch (part) {
-                case BODY, CHUNK, TO_END -> take(in);
+        while (state != State.DONE && in.hasRemaining()) {
+            switch (state) {
+                case BODY, CHUNK, BODY_TO_END_OF_STREAM -> readBody(in);
                 default -> {
-                    String text = line(in);
+                    String text = readLine(in);
                     if (text != null) {
-                        line(text);
+                        parseLine(text);
                     }
                 }
             }
         }
-        return part == Part.DONE;
+        return state == State.DONE;
     }
 
-    /** The connection ended; true if that ends the answer whole. */
+    /** Handles the end of the stream; returns whether the response is complete by it. */
     boolean readEndOfStream() {
-        if (part == Part.TO_END) {
-            part = Part.DONE;
+        if (state == State.BODY_TO_END_OF_STREAM) {
+            state = State.DONE;
         }
-        return part == Part.DONE;
+        return state == State.DONE;
     }
 
+    /** The status code, once the status line has been read. */
     int status() {
         return status;
     }
 
-    /** The length of the body, or -1 where none was told. */
+    /** The body's length in bytes as the head gives it, or -1 where it gives none. */
     long length() {
         return chunked ? -1 : length;
     }
 
+    /** Whether the node says ({@code X-Never-Ran: 1}) that the request was not executed. */
     boolean neverRan() {
         return neverRan;
     }
 
-    /** Whether the answer was read to its end. */
+    /** Whether the response was read to its end. */
     boolean isComplete() {
-        return part == Part.DONE;
+        return state == State.DONE;
     }
 
     /**
-     * The heads {@code Volume-Load}, {@code Other-Hosts} and {@code Endpoint-Load-Metrics}, ""
-     * where absent.
+     * The headers {@code Volume-Load}, {@code Other-Hosts} and {@code Endpoint-Load-Metrics}; ""
+     * where one is absent.
      */
     LoadReport report() {
-        return new LoadReport(volumeLoad, otherHosts, metrics);
+        return new LoadReport(volumeLoad, otherHosts, loadMetrics);
     }
 
-    /** Whether the connection may carry another request. */
+    /** Whether the response is complete and the connection may carry another request. */
     boolean isReusable() {
-        return part == Part.DONE && !close;
+        return state == State.DONE && !closesConnection;
     }
 
-    private void take(ByteBuffer in) throws IOException {
-        int length = part == Part.TO_END ? in.remaining() : (int) Math.min(left, in.remaining());
-        taken = bounded(taken + length);
+    private void readBody(ByteBuffer in) throws IOException {
+        int length =
+                state == State.BODY_TO_END_OF_STREAM
+                        ? in.remaining()
+                        : (int) Math.min(remaining, in.remaining());
+        bodyBytes = checkBodyLength(bodyBytes + length);
         body.accept(in.slice(in.position(), length));
         in.position(in.position() + length);
-        left -= length;
-        if (left == 0 && part != Part.TO_END) {
-            part = part == Part.BODY ? Part.DONE : Part.CHUNK_END;
+        remaining -= length;
+        if (remaining == 0 && state != State.BODY_TO_END_OF_STREAM) {
+            state = state == State.BODY ? State.DONE : State.CHUNK_END;
         }
     }
 
-    private String line(ByteBuffer in) throws IOException {
+    private String readLine(ByteBuffer in) throws IOException {
         while (in.hasRemaining()) {
             char next = (char) (in.get() & 0xff);
-            if (++headBytes > MOST_HEAD) {
-                throw new IOException("the head of the answer is too long");
+            if (++headBytes > MAX_HEAD_BYTES) {
+                throw new IOException("response head too long");
             }
             if (next == '\n') {
                 int end = line.length();
@@ -137,132 +153,137 @@
                 return text;
             }
             line.append(next);
-            if (!begins(next)) {
-                throw new IOException("the answer cannot be read");
+            if (!isPlausible(next)) {
+                throw new IOException("malformed response");
             }
         }
         return null;
     }
 
-    /** Whether a line may go on so far as it has come, by its last character. */
-    private boolean begins(char last) {
+    /** Whether the line read so far can become a valid one, judged by its last character. */
+    private boolean isPlausible(char last) {
         int at = line.length() - 1;
-        return switch (part) {
-            case STATUS -> at >= START.length() || START.charAt(at) == last;
+        return switch (state) {
+            case STATUS_LINE -> at >= VERSION_PREFIX.length() || VERSION_PREFIX.charAt(at) == last;
             case CHUNK_SIZE -> at > 0 || Character.digit(last, 16) >= 0;
             case CHUNK_END -> at == 0 && last == '\r';
-            default -> true; // a header that nobody uses may say what it likes
+            default -> true; // headers that are not used are not checked
         };
     }
 
-    private void line(String text) throws IOException {
-        switch (part) {
-            case STATUS -> {
+    private void parseLine(String text) throws IOException {
+        switch (state) {
+            case STATUS_LINE -> {
                 if (!text.matches("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?")) {
                     throw new IOException("not an HTTP status line");
                 }
                 status = Integer.parseInt(text.substring(9, 12));
-                close = text.startsWith("HTTP/1.0");
-                part = Part.HEADERS;
+                closesConnection = text.startsWith("HTTP/1.0");
+                state = State.HEADERS;
             }
             case HEADERS -> {
                 if (text.isEmpty()) {
-                    endOfHead();
+                    endHead();
                 } else {
-                    header(text);
+                    parseHeader(text);
                 }
             }
             case CHUNK_SIZE -> {
                 headBytes = 0;
-                left = number(text.replaceFirst(";.*", "").trim(), 16);
-                bounded(taken + left);
-                part = left == 0 ? Part.TRAILERS : Part.CHUNK;
+                remaining = parseLength(text.replaceFirst(";.*", "").trim(), 16);
+                checkBodyLength(bodyBytes + remaining);
+                state = remaining == 0 ? State.TRAILERS : State.CHUNK;
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
-                    throw new IOException("a chunk is longer than it says");
+                    throw new IOException("chunk longer than its size");
                 }
-                part = Part.CHUNK_SIZE;
+                state = State.CHUNK_SIZE;
             }
-            case TRAILERS -> part = text.isEmpty() ? Part.DONE : Part.TRAILERS;
-            default -> throw new IllegalStateException(part.name());
+            case TRAILERS -> state = text.isEmpty() ? State.DONE : State.TRAILERS;
+            default -> throw new IllegalStateException(state.name());
         }
     }
 
-    private void header(String text) throws IOException {
+    private void parseHeader(String text) throws IOException {
         int colon = text.indexOf(':');
-        if (colon <= 0 || !text.chars().limit(colon).allMatch(ResponseParser::inName)) {
-            throw new IOException("a header without a name");
+        if (colon <= 0 || !text.chars().limit(colon).allMatch(ResponseParser::isHeaderNameChar)) {
+            throw new IOException("header without a valid name");
         }
         String value = text.substring(colon + 1).trim();
         switch (text.substring(0, colon).toLowerCase(Locale.ROOT)) {
             case "content-length" -> {
-                left = bounded(number(value, 10));
-                if (chunked || length >= 0 && length != left) {
-                    throw new IOException("the answer has two ends");
+                remaining = checkBodyLength(parseLength(value, 10));
+                if (chunked || length >= 0 && length != remaining) {
+                    throw new IOException("conflicting body lengths");
                 }
-                length = left;
+                length = remaining;
             }
             case "transfer-encoding" -> {
                 chunked = value.equalsIgnoreCase("chunked");
                 if (!chunked || length >= 0) {
-                    throw new IOException("the answer's end is not plain");
+                    throw new IOException("ambiguous body length");
                 }
             }
-            case "connection" -> close |= value.equalsIgnoreCase("close");
+            case "connection" -> closesConnection |= value.equalsIgnoreCase("close");
             case "x-never-ran" -> neverRan = value.equals("1");
             case "volume-load" -> volumeLoad = value;
             case "other-hosts" -> otherHosts = value;
-            case "endpoint-load-metrics" -> metrics = value;
+            case "endpoint-load-metrics" -> loadMetrics = value;
             default -> {}
         }
     }
 
-    private void endOfHead() throws IOException {
+    private void endHead() throws IOException {
         if (status == 101) {
-            throw new IOException("nobody asked for another protocol");
+            throw new IOException("unexpected protocol switch");
         }
-        if (status < 200) { // nothing that it said holds for the answer behind it
-            part = Part.STATUS;
-            left = -1;
+        if (status < 200) { // an interim response: its headers do not apply to the final one
+            state = State.STATUS_LINE;
+            remaining = -1;
             length = -1;
             chunked = false;
             neverRan = false;
-            volumeLoad = otherHosts = metrics = "";
+            volumeLoad = otherHosts = loadMetrics = "";
         } else if (status == 204 || status == 304) {
-            part = Part.DONE;
+            state = State.DONE;
         } else if (chunked) {
-            part = Part.CHUNK_SIZE;
-        } else if (left >= 0) {
-            part = left == 0 ? Part.DONE : Part.BODY;
-        } else if (close) {
-            part = Part.TO_END;
-        } else { // connections stay open, so this one would never end
-            throw new IOException("the answer has no end");
+            state = State.CHUNK_SIZE;
+        } else if (remaining >= 0) {
+            state = remaining == 0 ? State.DONE : State.BODY;
+        } else if (closesConnection) {
+            state = State.BODY_TO_END_OF_STREAM;
+        } else { // the connection stays open, so the body would never end
+            throw new IOException("response without a body length");
         }
     }
 
-    private static boolean inName(int sign) {
-        return sign < 128 && Character.isLetterOrDigit(sign) || NAME_SIGNS.indexOf(sign) >= 0;
+    private static boolean isHeaderNameChar(int character) {
+        return character < 128 && Character.isLetterOrDigit(character)
+                || HEADER_NAME_PUNCTUATION.indexOf(character) >= 0;
     }
 
-    private long bounded(long size) throws IOException {
-        if (size > mostBody) {
-            throw new IOException("the answer is too long");
+    private long checkBodyLength(long size) throws IOException {
+        if (size > maxBodyBytes) {
+            throw new IOException("response body too long");
         }
         return size;
     }
 
-    private static long number(String text, int radix) throws IOException {
+    private static long parseLength(String text, int radix) throws IOException {
         if (text.isEmpty()
-                || text.length() > MOST_DIGITS
+                || text.length() > MAX_LENGTH_DIGITS
                 || !text.chars()
-                        .allMatch(sign -> sign < 128 && Character.digit(sign, radix) >= 0)) {
-            throw new IOException("not a length: " + text);
+                        .allMatch(
+                                character ->
+                                        character < 128
+                                                && Character.digit(character, radix) >= 0)) {
+            throw new IOException("invalid length: " + text);
         }
         return Long.parseLong(text, radix);
     }
 
+    /** The text as ISO 8859-1 bytes. */
     static ByteBuffer ascii(String text) {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
--- a/src/main/java/cypressglade/net/Connection.java
+++ b/src/main/java/cypressglade/net/Connection.java
@@ -10,35 +10,46 @@
 import org.xnio.StreamConnection;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
-/** One TCP connection, on the I/O thread. Its owner closes it. */
+/**
+ * A stream connection, usually TCP. All methods must be called on the I/O thread. Its owner has to
+ * close it.
+ */
 public final class Connection {
     private final EventLoop loop;
     private final StreamConnection connection;
     private final ArrayDeque<ByteBuffer> output = new ArrayDeque<>();
     private Listener listener;
-    private long unsent;
-    private boolean closed;
-    private boolean closeWhenSent;
-    private boolean blocked;
-    private Instant used = MonotonicClock.now();
+    private long unsentBytes;
+    private boolean isClosed;
+    private boolean isClosingWhenSent;
+    private boolean isBlocked;
+    private Instant lastActivity = MonotonicClock.now();
 
-    /** Hears what comes. */
+    /** Receives the events of a connection, on the I/O thread. */
     public interface Listener {
-        /** Bytes came; what is left in the buffer is lost. A failure breaks the wire. */
+        /**
+         * Bytes arrived. Bytes left in the buffer on return are discarded.
+         *
+         * @throws IOException to close the connection; {@link #failed} is called next
+         */
         void received(ByteBuffer in) throws IOException;
 
-        /** The other side ended its sending; told once, and not after {@link Connection#close}. */
+        /**
+         * End of stream: the other side closed its sending half. Called at most once, and not after
+         * {@link Connection#close}.
+         */
         void ended();
 
         /**
-         * The wire broke instead, as by a reset: that ends nothing whole, as what would have come
-         * next is not known. Told once, in place of {@link #ended}.
+         * The connection failed, for example by a reset. A message that is ended by the end of
+         * stream is then incomplete, as bytes may be missing. Called at most once, in place of
+         * {@link #ended}.
          */
         default void failed() {
             ended();
         }
 
-        /** All that had to wait for the socket is written. */
+        /** All output that had to wait for the socket is written. */
         default void sent() {}
     }
 
@@ -49,66 +60,77 @@
         connection.getSinkChannel().setWriteListener(channel -> write());
     }
 
-    /** Hands what comes from now on to another listener. */
+    /** Passes further events to this listener, in place of the current one, and starts reading. */
     public void readInto(Listener next) {
         listener = next;
         connection.getSourceChannel().resumeReads();
     }
 
+    /** Stops reading until {@link #readInto} is called. */
     public void pauseReading() {
         connection.getSourceChannel().suspendReads();
     }
 
-    /** Writes as soon as the socket takes it. */
+    /** Writes the bytes as soon as the socket accepts them; does nothing once closed. */
     public void send(ByteBuffer bytes) {
         send(List.of(bytes));
     }
 
-    /** Writes the parts, in order, as soon as the socket takes them. */
-    public void send(List<ByteBuffer> parts) {
-        if (!closed) {
-            output.addAll(parts);
-            unsent += parts.stream().mapToLong(ByteBuffer::remaining).sum();
+    /**
+     * Writes the buffers, in order, as soon as the socket accepts them; does nothing once closed.
+     */
+    public void send(List<ByteBuffer> buffers) {
+        if (!isClosed) {
+            output.addAll(buffers);
+            unsentBytes += buffers.stream().mapToLong(ByteBuffer::remaining).sum();
             write();
         }
     }
 
-    /** When bytes went either way last; the other side counts the connection's rest from then. */
+    /**
+     * When bytes last went in either direction. The other side measures its idle timeout from then.
+     */
     public Instant lastActivity() {
-        return used;
+        return lastActivity;
     }
 
-    /** Bytes that the socket has not taken yet. */
+    /** Bytes of output that the socket has not accepted yet. */
     public long unsentBytes() {
-        return unsent;
+        return unsentBytes;
     }
 
-    /** Whether nothing came that was not heard of yet, be it bytes or the end. */
+    /**
+     * Whether the connection is open and neither bytes nor an end of stream wait to be read. Bytes
+     * that do wait are discarded.
+     */
     boolean hasNoInput() {
         try {
-            return !closed && connection.getSourceChannel().read(loop.input.clear()) == 0;
+            return !isClosed && connection.getSourceChannel().read(loop.input.clear()) == 0;
         } catch (IOException broken) {
             return false;
         }
     }
 
-    /** Hears what has come by now, before its event is: for whoever acts by a timer. */
+    /**
+     * Reads what has arrived without waiting for its read event, so that a timer decides on the
+     * latest input.
+     */
     void readNow() {
-        if (!closed) {
+        if (!isClosed) {
             read(connection.getSourceChannel());
         }
     }
 
-    /** Gives the connection back; nothing is heard of it after. */
+    /** Closes the connection and discards unsent output; the listener gets no further events. */
     public void close() {
-        closed = true;
+        isClosed = true;
         output.clear();
         IoUtils.safeClose(connection);
     }
 
-    /** Closes once all that was to be sent is written. */
+    /** Closes the connection once all output is written. */
     public void closeWhenSent() {
-        closeWhenSent = true;
+        isClosingWhenSent = true;
         if (output.isEmpty()) {
             close();
         }
@@ -119,11 +141,11 @@
             while (!output.isEmpty()) {
                 ByteBuffer first = output.peek();
                 int before = first.remaining();
-                int wrote = connection.getSinkChannel().write(first);
-                unsent -= before - first.remaining();
-                used = MonotonicClock.now();
-                if (first.hasRemaining() && wrote == 0) {
-                    blocked = true;
+                int written = connection.getSinkChannel().write(first);
+                unsentBytes -= before - first.remaining();
+                lastActivity = MonotonicClock.now();
+                if (first.hasRemaining() && written == 0) {
+                    isBlocked = true;
                     connection.getSinkChannel().resumeWrites();
                     return;
                 }
@@ -132,46 +154,46 @@
                 }
             }
             connection.getSinkChannel().suspendWrites();
-            if (closeWhenSent) {
+            if (isClosingWhenSent) {
                 close();
-            } else if (blocked && listener != null) {
-                blocked = false;
+            } else if (isBlocked && listener != null) {
+                isBlocked = false;
                 loop.execute(listener::sent);
             }
         } catch (IOException reset) {
-            loop.execute(() -> over(listener::failed));
+            loop.execute(() -> closeAndNotify(listener::failed));
         }
     }
 
     private void read(ConduitStreamSourceChannel channel) {
         ByteBuffer input = loop.input;
         try {
-            while (!closed && channel.isReadResumed()) {
+            while (!isClosed && channel.isReadResumed()) {
                 input.clear();
-                int got = channel.read(input);
-                if (got == 0) {
+                int count = channel.read(input);
+                if (count == 0) {
                     return;
                 }
-                if (got < 0) {
-                    over(listener::ended);
+                if (count < 0) {
+                    closeAndNotify(listener::ended);
                     return;
                 }
-                used = MonotonicClock.now();
+                lastActivity = MonotonicClock.now();
                 listener.received(input.flip());
             }
         } catch (IOException reset) {
-            over(listener::failed);
+            closeAndNotify(listener::failed);
         }
     }
 
-    private void over(Runnable told) {
-        if (!closed) {
+    private void closeAndNotify(Runnable notification) {
+        if (!isClosed) {
             connection.getSourceChannel().suspendReads();
             connection.getSinkChannel().suspendWrites();
-            closed = true;
+            isClosed = true;
             output.clear();
             IoUtils.safeClose(connection);
-            told.run();
+            notification.run();
         }
     }
 }
--- a/src/main/java/cypressglade/net/EventLoop.java
+++ b/src/main/java/cypressglade/net/EventLoop.java
@@ -26,32 +26,38 @@
 import org.xnio.XnioWorker;
 
 /**
- * The program's one I/O thread: what runs on it never blocks, and the state of its wires is its
- * alone.
+ * The program's event loop with its one I/O thread. Tasks and callbacks that run on this thread
+ * must not block. The connections that the loop creates belong to this thread and may be used only
+ * on it.
  */
 public class EventLoop implements AutoCloseable {
     private static final System.Logger LOG = System.getLogger(EventLoop.class.getName());
 
-    /** Held, as its level is lost with it. */
-    private static final Logger XNIO = Logger.getLogger("org.xnio");
+    /** A strong reference: the level set below is lost once the logger is collected. */
+    private static final Logger XNIO_LOGGER = Logger.getLogger("org.xnio");
 
-    private static final int BUFFER = 16 * 1024;
-    private static final int BACKLOG = 512;
-    private static final Duration BIND_LIMIT = Duration.ofSeconds(10);
-    private static final Duration START_LIMIT = Duration.ofSeconds(5);
-    private static final OptionMap TCP = OptionMap.create(Options.TCP_NODELAY, true);
+    private static final int INPUT_BUFFER_BYTES = 16 * 1024;
+    private static final int ACCEPT_BACKLOG = 512;
+    private static final Duration BIND_TIMEOUT = Duration.ofSeconds(10);
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(5);
+    private static final OptionMap TCP_OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
 
     static {
-        // It names its version at each start, and the first line that is logged loads how dates are
-        // written.
-        XNIO.setLevel(Level.WARNING);
+        // XNIO logs its version at each start, and the first line logged loads the date formatting
+        // classes.
+        XNIO_LOGGER.setLevel(Level.WARNING);
     }
 
     private final XnioWorker worker;
     private final XnioIoThread io;
-    private Duration lateness = Duration.ZERO;
-    final ByteBuffer input = ByteBuffer.allocateDirect(BUFFER);
+    private Duration meanLateness = Duration.ZERO;
+    final ByteBuffer input = ByteBuffer.allocateDirect(INPUT_BUFFER_BYTES);
 
+    /**
+     * Starts the I/O thread.
+     *
+     * @throws IOException where the thread cannot be created within 5 s
+     */
     public EventLoop() throws IOException {
         OptionMap options =
                 OptionMap.builder()
@@ -63,13 +69,14 @@
                         .getMap();
         worker =
                 Retry.untilDone(
-                        START_LIMIT,
+                        START_TIMEOUT,
                         "I/O thread",
                         IOException.class::isInstance,
                         () -> Xnio.getInstance().createWorker(options));
         io = worker.getIoThread();
     }
 
+    /** The XNIO worker that owns the I/O thread. */
     public XnioWorker worker() {
         return worker;
     }
@@ -78,39 +85,56 @@
         return io;
     }
 
-    /** How late this thread came to what was due, on average lately; on this thread. */
+    /**
+     * How late this thread has recently run its due tasks, on average. Must be called on this
+     * thread.
+     */
     public Duration meanLateness() {
-        return lateness;
+        return meanLateness;
     }
 
-    /** Told by whoever looks at it, on this thread. */
+    /** Sets the mean lateness as measured by the caller. Must be called on this thread. */
     public void setMeanLateness(Duration mean) {
-        lateness = mean;
+        meanLateness = mean;
     }
 
+    /**
+     * Runs a task on this thread; may be called from any thread. Dropped once the loop is closed.
+     */
     public void execute(Runnable task) {
         try {
             io.execute(task);
         } catch (RejectedExecutionException closing) {
-            LOG.log(System.Logger.Level.DEBUG, "the program stops", closing);
+            LOG.log(System.Logger.Level.DEBUG, "task dropped: the event loop is closed", closing);
         }
     }
 
+    /**
+     * Runs a task on this thread after a delay of at least 1 ms.
+     *
+     * @return the key by which the task can be cancelled
+     */
     public XnioExecutor.Key executeAfter(Duration delay, Runnable task) {
         try {
             return io.executeAfter(task, Math.max(1, delay.toMillis()), TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException closing) {
-            return () -> false; // the program stops, and nothing is due any more
+            return () -> false; // the loop is closed, so the task never runs
         }
     }
 
-    /** Connects; either {@code up} or {@code down} is called, once, on this thread. */
+    /**
+     * Opens a TCP connection. Exactly one of {@code up} and {@code down} is called, once, on this
+     * thread: with the connection, or after a failure or cancellation.
+     */
     public EventLoop.PendingConnection connect(
             InetSocketAddress address, Consumer<Connection> up, Runnable down) {
         return connect(Optional.empty(), address, up, down);
     }
 
-    /** The same, from a local address; from whichever the route gives where there is none. */
+    /**
+     * Opens a TCP connection from a local address, or from the one that the route gives where
+     * {@code from} is empty.
+     */
     public EventLoop.PendingConnection connect(
             Optional<InetSocketAddress> from,
             InetSocketAddress address,
@@ -118,8 +142,8 @@
             Runnable down) {
         IoFuture<StreamConnection> future =
                 from.isEmpty()
-                        ? worker.openStreamConnection(address, null, TCP)
-                        : worker.openStreamConnection(from.get(), address, null, null, TCP);
+                        ? worker.openStreamConnection(address, null, TCP_OPTIONS)
+                        : worker.openStreamConnection(from.get(), address, null, null, TCP_OPTIONS);
         future.addNotifier(
                 new IoFuture.HandlingNotifier<StreamConnection, Void>() {
                     @Override
@@ -141,15 +165,15 @@
         return future::cancel;
     }
 
-    /** The two ends of a connection inside the program. */
+    /** The two ends of a new connection inside the process, without a network socket. */
     protected final Connection[] connectedPair() {
         StreamConnection[] ends = pipe();
         return new Connection[] {new Connection(this, ends[0]), new Connection(this, ends[1])};
     }
 
     /**
-     * A connection inside the program: one end is handed over as an accepted one is, the other
-     * returned.
+     * Opens a connection inside the process. One end is passed to {@code accepted} on this thread,
+     * as an accepted connection is; the other is returned.
      */
     public final Connection openPipe(Consumer<StreamConnection> accepted) {
         StreamConnection[] ends = pipe();
@@ -162,12 +186,17 @@
             ChannelPipe<StreamConnection, StreamConnection> pipe =
                     io.createFullDuplexPipeConnection();
             return new StreamConnection[] {pipe.getLeftSide(), pipe.getRightSide()};
-        } catch (IOException none) {
-            throw new UncheckedIOException(none);
+        } catch (IOException failure) {
+            throw new UncheckedIOException(failure);
         }
     }
 
-    /** Listens; each connection is handed over on this thread. */
+    /**
+     * Binds a listening socket and starts to accept; each connection is passed to {@code accepted}
+     * on this thread.
+     *
+     * @throws IOException where the address cannot be bound
+     */
     public ListeningSocket listen(InetSocketAddress address, Consumer<Connection> accepted)
             throws IOException {
         ListeningSocket listening =
@@ -177,13 +206,16 @@
     }
 
     /**
-     * Binds a listener that another process may share (SO_REUSEPORT), as an upgrade wants it; it
-     * hands over each connection on this thread, once it is told to accept.
+     * Binds a listening socket that another process may bind as well (SO_REUSEPORT), so that an
+     * upgrade can start the next process beside this one. It accepts after {@link
+     * ListeningSocket#resume}, and passes each connection to {@code accepted} on this thread.
+     *
+     * @throws IOException where the address cannot be bound within 10 s
      */
     public ListeningSocket bindShared(
             InetSocketAddress address, Consumer<StreamConnection> accepted) throws IOException {
         return Retry.untilDone(
-                BIND_LIMIT,
+                BIND_TIMEOUT,
                 "clients' port",
                 IOException.class::isInstance,
                 () -> bind(address, true, accepted));
@@ -199,15 +231,19 @@
             if (shared) {
                 channel.setOption(StandardSocketOptions.SO_REUSEPORT, true);
             }
-            channel.bind(address, BACKLOG);
+            channel.bind(address, ACCEPT_BACKLOG);
             return new ListeningSocket(this, channel, accepted);
-        } catch (IOException taken) {
+        } catch (IOException failure) {
             IoUtils.safeClose(channel);
-            throw taken;
+            throw failure;
         }
     }
 
-    /** Opens a UDP socket. */
+    /**
+     * Binds a UDP socket; datagrams are passed to the receiver on this thread.
+     *
+     * @throws IOException where the address cannot be bound
+     */
     public UdpSocket openUdpSocket(InetSocketAddress address, UdpSocket.Receiver receiver)
             throws IOException {
         return new UdpSocket(worker, address, receiver);
@@ -218,8 +254,9 @@
         worker.shutdownNow();
     }
 
-    /** A connection that is coming up. */
+    /** A connection that is being opened. */
     public interface PendingConnection {
+        /** Gives up the attempt to connect; has no effect once it has ended. */
         void cancel();
     }
 }
--- a/src/main/java/cypressglade/net/ListeningSocket.java
+++ b/src/main/java/cypressglade/net/ListeningSocket.java
@@ -7,14 +7,14 @@
 import org.xnio.StreamConnection;
 import org.xnio.nio.Acceptor;
 
-/** An open listener. Its connections are handed over on the I/O thread. */
+/** A bound TCP socket that passes each accepted connection to a consumer on the I/O thread. */
 public final class ListeningSocket implements AutoCloseable {
     private static final System.Logger LOG = System.getLogger(ListeningSocket.class.getName());
 
     private final EventLoop loop;
     private final InetSocketAddress address;
     private final Acceptor acceptor;
-    private int failures; // since the last one that was accepted
+    private int consecutiveFailures;
 
     ListeningSocket(
             EventLoop loop, ServerSocketChannel channel, Consumer<StreamConnection> accepted)
@@ -29,58 +29,62 @@
                             @Override
                             public void accepted(StreamConnection connection) {
                                 noteAccepted();
-                                // behind what was told before it came
+                                // queued, so that it runs after the tasks queued before it
                                 loop.execute(() -> accepted.accept(connection));
                             }
 
                             @Override
-                            public void failed(IOException why) {
-                                noteFailed(why);
+                            public void failed(IOException failure) {
+                                noteFailed(failure);
                             }
                         });
     }
 
-    private void noteFailed(IOException why) {
-        if (failures++ == 0) { // a series is told once, and its end
+    private void noteFailed(IOException failure) {
+        if (consecutiveFailures++ == 0) { // logs only the first failure of a series, and its end
             LOG.log(
                     System.Logger.Level.WARNING,
                     "accept on {0} fails: {1}",
                     address,
-                    why.getMessage());
+                    failure.getMessage());
         }
     }
 
     private void noteAccepted() {
-        if (failures > 0) {
+        if (consecutiveFailures > 0) {
             LOG.log(
                     System.Logger.Level.INFO,
                     "accept on {0} works again after {1} failures",
                     address,
-                    failures);
-            failures = 0;
+                    consecutiveFailures);
+            consecutiveFailures = 0;
         }
     }
 
-    /** Accepts from now on. */
+    /** Starts to accept connections; may be called from any thread. */
     public void resume() {
         loop.execute(acceptor::resume);
     }
 
-    /** Accepts no more than so many at a time; whoever comes beyond that waits in the backlog. */
-    public void setMaxConnections(int most) {
-        loop.execute(() -> acceptor.bound(most));
+    /**
+     * Bounds the accepted connections that are open at a time; further ones wait in the accept
+     * backlog. May be called from any thread.
+     */
+    public void setMaxConnections(int max) {
+        loop.execute(() -> acceptor.bound(max));
     }
 
     /**
-     * Accepts all that wait in the backlog, and closes: on the I/O thread, at once, so that nobody
-     * comes between.
+     * Accepts every connection that waits in the backlog, then closes the socket. Must be called on
+     * the I/O thread; both happen in one task, which keeps the time short in which another
+     * connection could arrive and be lost.
      */
     public void acceptWaitingAndClose() {
         acceptor.acceptWaiting();
         acceptor.close();
     }
 
-    /** Where it listens. */
+    /** The local address that it is bound to. */
     public InetSocketAddress address() {
         return address;
     }
--- a/src/main/java/cypressglade/net/NodePool.java
+++ b/src/main/java/cypressglade/net/NodePool.java
@@ -24,47 +24,63 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Connections to the storage nodes, one request at a time on each. All state is the I/O thread's.
- * Nothing is ever sent again here; an attempt's end says exactly whether its last byte was written.
+ * A pool of connections to the storage nodes that carries one request at a time on each connection.
+ * Its state belongs to the I/O thread. The pool never retries; the result of an attempt says
+ * exactly whether the last byte of its request was written.
  */
 public final class NodePool {
+    /** How long a health probe of a node may take, from the connection to the whole answer. */
     public static final Duration PROBE_TIMEOUT = Duration.ofMillis(250);
-    private static final Duration MOST_IDLE = Duration.ofSeconds(12);
-    private static final Duration SWEEP = Duration.ofSeconds(1);
 
-    /** A send that its connection delays by more would count too late against a volume's limit. */
-    private static final Duration MOST_CONNECT = Duration.ofMillis(150);
+    private static final Duration MAX_IDLE_TIMEOUT = Duration.ofSeconds(12);
+    private static final Duration SWEEP_INTERVAL = Duration.ofSeconds(1);
+
+    /** A longer wait for a connection would count the send too late against a volume's limit. */
+    private static final Duration MAX_CONNECT_TIMEOUT = Duration.ofMillis(150);
 
     private final EventLoop loop;
     private final NodeDirectory directory;
     private final Counters counters;
-    private Duration connectLimit;
-    private Duration idleLimit;
-    private int mostConnections;
-    private final Map<String, ArrayDeque<Idle>> idle = new HashMap<>();
-    private int connections;
+    private Duration maxConnectTime;
+    private Duration idleTimeout;
+    private int maxConnections;
+    private final Map<String, ArrayDeque<IdleConnection>> idle = new HashMap<>();
+    private int openConnections;
 
+    /**
+     * Creates a pool without connections.
+     *
+     * @param loop runs all of the pool's work
+     * @param directory gives addresses, states and start times of the nodes
+     * @param connectTimeout how long a connection may take to open; at most 150 ms are used
+     * @param nodeIdleTimeout after which time nodes close an idle connection; the pool closes it
+     *     after half of that, and after 12 s at the latest
+     * @param maxConnections the maximum of open connections to all nodes together
+     */
     public NodePool(
             EventLoop loop,
             NodeDirectory directory,
             Counters counters,
             Duration connectTimeout,
-            Duration idleAtNode,
-            int mostConnections) {
+            Duration nodeIdleTimeout,
+            int maxConnections) {
         this.loop = loop;
         this.directory = directory;
         this.counters = counters;
-        reconfigure(connectTimeout, idleAtNode, mostConnections);
-        loop.executeAfter(SWEEP, this::sweep);
+        reconfigure(connectTimeout, nodeIdleTimeout, maxConnections);
+        loop.executeAfter(SWEEP_INTERVAL, this::sweep);
     }
 
-    /** Takes new limits; connections over them go as they become idle. */
-    public void reconfigure(Duration connectTimeout, Duration idleAtNode, int most) {
+    /**
+     * Changes the limits, from any thread. Connections that exceed them are closed as they become
+     * idle.
+     */
+    public void reconfigure(Duration connectTimeout, Duration nodeIdleTimeout, int max) {
         loop.execute(
                 () -> {
-                    connectLimit = shorter(connectTimeout, MOST_CONNECT);
-                    idleLimit = shorter(idleAtNode.dividedBy(2), MOST_IDLE);
-                    mostConnections = most;
+                    maxConnectTime = shorter(connectTimeout, MAX_CONNECT_TIMEOUT);
+                    idleTimeout = shorter(nodeIdleTimeout.dividedBy(2), MAX_IDLE_TIMEOUT);
+                    maxConnections = max;
                 });
     }
 
@@ -73,20 +89,22 @@
     }
 
     /**
-     * A connection between two requests. Whatever comes on it ends it: a node has nothing to say
-     * there.
+     * A connection between two requests. Any input closes it, as a node sends nothing without a
+     * request.
      */
-    private final class Idle implements Connection.Listener {
-        private final Connection wire;
-        private final String use;
+    private final class IdleConnection implements Connection.Listener {
+        private final Connection connection;
+        private final String poolKey;
         private final long node;
-        private final Instant since;
+        private final Instant idleSince;
 
-        Idle(Connection wire, String use, long node) {
-            this.wire = wire;
-            this.use = use;
+        IdleConnection(Connection connection, String poolKey, long node) {
+            this.connection = connection;
+            this.poolKey = poolKey;
             this.node = node;
-            since = wire.lastActivity(); // one that was taken and not used has rested all along
+            idleSince =
+                    connection.lastActivity(); // stays idle if it was taken from the pool but not
+            // used
         }
 
         @Override
@@ -101,366 +119,417 @@
         }
 
         void discard() {
-            idle.get(use).remove(this);
-            close(wire);
+            idle.get(poolKey).remove(this);
+            close(connection);
         }
     }
 
     /**
-     * An idle connection that is still of use: not one that its node may have closed by now, nor
-     * one to the process that ran before the node's last start, which may be dead without a word.
+     * Takes a usable idle connection out of the pool. Closes those that the node may have closed by
+     * now, and those to the process before the node's last start, which may have died without
+     * closing them.
      */
-    private Optional<Connection> takeIdle(String use, Instant nodeStarted) {
-        ArrayDeque<Idle> kept = idle.getOrDefault(use, new ArrayDeque<>());
-        Instant oldest = MonotonicClock.now().minus(idleLimit);
-        while (!kept.isEmpty()) {
-            Idle last = kept.pollLast();
-            if (last.since.isBefore(oldest) || last.since.isBefore(nodeStarted)) {
-                close(last.wire);
-            } else if (last.wire.hasNoInput()) {
-                return Optional.of(last.wire);
+    private Optional<Connection> takeIdle(String poolKey, Instant nodeStarted) {
+        ArrayDeque<IdleConnection> pooled = idle.getOrDefault(poolKey, new ArrayDeque<>());
+        Instant oldest = MonotonicClock.now().minus(idleTimeout);
+        while (!pooled.isEmpty()) {
+            IdleConnection last = pooled.pollLast();
+            if (last.idleSince.isBefore(oldest) || last.idleSince.isBefore(nodeStarted)) {
+                close(last.connection);
+            } else if (last.connection.hasNoInput()) {
+                return Optional.of(last.connection);
             } else {
-                // Guards against bytes behind an answer that are here but not heard of yet: they
-                // would be taken for the next answer.
+                // Bytes after the last answer that have arrived but are not read yet would be taken
+                // for the next answer.
                 counters.add(Counters.Name.STRAY_BYTES);
-                close(last.wire);
+                close(last.connection);
             }
         }
         return Optional.empty();
     }
 
-    private void keep(Connection wire, String use, long node) {
-        Idle kept = new Idle(wire, use, node);
-        idle.computeIfAbsent(use, key -> new ArrayDeque<>()).addLast(kept);
-        wire.readInto(kept);
+    private void addIdle(Connection connection, String poolKey, long node) {
+        IdleConnection pooled = new IdleConnection(connection, poolKey, node);
+        idle.computeIfAbsent(poolKey, key -> new ArrayDeque<>()).addLast(pooled);
+        connection.readInto(pooled);
     }
 
-    /** The one place where a connection is given back. */
-    private void close(Connection wire) {
-        connections--;
-        wire.close();
+    /** The only place that closes a connection and counts it out. */
+    private void close(Connection connection) {
+        openConnections--;
+        connection.close();
     }
 
     private void sweep() {
-        Instant oldest = MonotonicClock.now().minus(idleLimit);
-        for (ArrayDeque<Idle> kept : idle.values()) {
-            // Nothing more goes to a node that drains or is gone: its connections are of no use to
-            // anyone.
-            List.copyOf(kept).stream()
+        Instant oldest = MonotonicClock.now().minus(idleTimeout);
+        for (ArrayDeque<IdleConnection> pooled : idle.values()) {
+            // A node that drains or is gone gets no more requests, so its connections are closed
+            // too.
+            List.copyOf(pooled).stream()
                     .filter(
                             one ->
-                                    one.since.isBefore(oldest)
+                                    one.idleSince.isBefore(oldest)
                                             || directory.findReady(one.node).isEmpty())
-                    .forEach(Idle::discard);
+                    .forEach(IdleConnection::discard);
         }
         idle.values().removeIf(ArrayDeque::isEmpty);
-        loop.executeAfter(SWEEP, this::sweep);
+        loop.executeAfter(SWEEP_INTERVAL, this::sweep);
     }
 
     /**
-     * Makes room for a connection at the cost of the one that was idle longest; false where all
-     * work.
+     * Makes room for a new connection by closing the one that was idle longest, if the pool is
+     * full.
+     *
+     * @return whether there is room; false where every connection carries a request
      */
     private boolean makeRoom() {
-        if (connections >= mostConnections) {
+        if (openConnections >= maxConnections) {
             idle.values().stream()
                     .map(ArrayDeque::peekFirst)
                     .filter(Objects::nonNull)
-                    .min(Comparator.comparing(kept -> kept.since))
-                    .ifPresent(Idle::discard);
+                    .min(Comparator.comparing(pooled -> pooled.idleSince))
+                    .ifPresent(IdleConnection::discard);
         }
-        return connections < mostConnections;
+        return openConnections < maxConnections;
     }
 
-    /** One request on a connection, from its start to its one end; each wire says how it is put. */
+    /**
+     * One request and its answer on a connection. It ends exactly once. Subclasses implement the
+     * protocol; all methods but {@link #start} run on the I/O thread.
+     */
     public abstract class Exchange implements Connection.Listener {
         private final long node;
-        private final Instant until;
+        private final Instant deadline;
         private final BooleanSupplier wanted;
-        private final Consumer<NodeLink.AttemptResult> ended;
-        private String use;
-        private EventLoop.PendingConnection dial;
-        private Connection wire;
-        private XnioExecutor.Key limit;
-        private Instant opened = MonotonicClock.now();
-        private boolean begun;
-        private int heard;
-        private Instant lastHeard = opened;
-        private XnioExecutor.Key silence;
-        private boolean over;
+        private final Consumer<NodeLink.AttemptResult> resultConsumer;
+        private String poolKey;
+        private EventLoop.PendingConnection pendingConnection;
+        private Connection connection;
+        private XnioExecutor.Key timer;
+        private Instant startedAt = MonotonicClock.now();
+        private boolean requestStarted;
+        private int readCount;
+        private Instant lastReadAt = startedAt;
+        private XnioExecutor.Key silenceTimer;
+        private boolean finished;
 
+        /**
+         * Creates an exchange that begins with {@link #start}.
+         *
+         * @param node the node's number in the directory
+         * @param deadline the deadline of the attempt, by the monotonic clock
+         * @param wanted whether the answer is still needed; asked before connecting and before the
+         *     request is written
+         * @param resultConsumer gets the result, once, on the I/O thread
+         */
         protected Exchange(
                 long node,
-                Instant until,
+                Instant deadline,
                 BooleanSupplier wanted,
-                Consumer<NodeLink.AttemptResult> ended) {
+                Consumer<NodeLink.AttemptResult> resultConsumer) {
             this.node = node;
-            this.until = until;
+            this.deadline = deadline;
             this.wanted = wanted;
-            this.ended = ended;
+            this.resultConsumer = resultConsumer;
         }
 
-        /** Where the node listens on this wire, for what is written in the directory. */
-        protected abstract Optional<InetSocketAddress> address(NodeDirectory.ListedNode known);
+        /**
+         * The node's address for this protocol, given its entry in the directory; empty if it has
+         * none.
+         */
+        protected abstract Optional<InetSocketAddress> address(NodeDirectory.ListedNode listedNode);
 
-        /** What sets connections to one address apart, where they are not all alike. */
+        /**
+         * Tells apart connections to one address that are not interchangeable; "" where all are.
+         */
         protected String purpose() {
             return "";
         }
 
-        /** Makes a new connection ready for its first request. */
+        /**
+         * Prepares a new connection for its first request, for example by a handshake, and then
+         * runs one of the two callbacks.
+         */
         protected void prepare(Connection fresh, Runnable ready, Runnable unusable) {
             ready.run();
         }
 
-        /** The request, in parts that are written one after the other without a copy. */
+        /**
+         * The request as buffers that are written in order, without a copy.
+         *
+         * @param left the time until the deadline
+         */
         protected abstract List<ByteBuffer> message(Duration left);
 
-        /** Takes what came; how the exchange ended once the answer is whole. */
+        /**
+         * Reads a part of the answer.
+         *
+         * @return the attempt's status once the answer is complete; empty before
+         * @throws IOException where the answer violates the protocol
+         */
         protected abstract Optional<Status> read(ByteBuffer in) throws IOException;
 
-        /** How long the rest of an answer may stay out once it has begun, where that is bounded. */
+        /**
+         * The longest time between two reads of an answer that has begun; empty where it has no
+         * bound.
+         */
         protected Optional<Duration> maxSilence() {
             return Optional.empty();
         }
 
-        /** The connection ended; how the exchange ended if that makes its answer whole. */
+        /**
+         * The attempt's status if the end of the stream completes the answer; empty if it does not.
+         */
         protected Optional<Status> readEndOfStream() {
             return Optional.empty();
         }
 
-        /** Whether the connection may carry another request after a whole answer. */
+        /** Whether the connection may carry another request after a complete answer. */
         protected abstract boolean isReusable();
 
+        /** The body of the answer as far as it was read. */
         protected abstract byte[] answer();
 
-        /** It has ended: what it holds is given back. */
+        /** Releases what the exchange holds, after its end. */
         protected void release() {}
 
-        /** What the answer told beside itself; nothing where it was not read whole. */
+        /**
+         * The load figures reported with the answer; {@link ResponseMetadata#NOTHING} where the
+         * answer is incomplete.
+         */
         protected ResponseMetadata responseMetadata() {
             return ResponseMetadata.NOTHING;
         }
 
-        /** Starts it; returns at once. */
+        /**
+         * Starts the exchange, from any thread, without blocking; the returned attempt can be
+         * cancelled.
+         */
         public Attempt start() {
             loop.execute(this::open);
             return () -> loop.execute(() -> end(Status.CANCELLED));
         }
 
         private void open() {
-            opened = MonotonicClock.now();
-            Optional<NodeDirectory.ListedNode> known = directory.findReady(node);
-            Optional<InetSocketAddress> address = known.flatMap(this::address);
-            use = address.map(this::use).orElse("");
-            Optional<Status> heldBack = heldBack();
-            if (heldBack.isPresent()) {
-                holdBack(heldBack.get());
+            startedAt = MonotonicClock.now();
+            Optional<NodeDirectory.ListedNode> listedNode = directory.findReady(node);
+            Optional<InetSocketAddress> address = listedNode.flatMap(this::address);
+            poolKey = address.map(this::poolKey).orElse("");
+            Optional<Status> reasonNotToSend = reasonNotToSend();
+            if (reasonNotToSend.isPresent()) {
+                endUnsent(reasonNotToSend.get());
                 return;
             }
-            Optional<Connection> kept = takeIdle(use, known.orElseThrow().monotonicStart());
-            if (kept.isPresent()) {
-                wire = kept.get();
-                begin();
+            Optional<Connection> pooled =
+                    takeIdle(poolKey, listedNode.orElseThrow().monotonicStart());
+            if (pooled.isPresent()) {
+                connection = pooled.get();
+                sendRequest();
                 return;
             }
-            if (!makeRoom()) { // guards the descriptors; it says nothing of the node
-                holdBack(Status.MOOT);
+            if (!makeRoom()) { // bounds file descriptors; no fault of the node
+                endUnsent(Status.MOOT);
                 return;
             }
-            connections++;
+            openConnections++;
             counters.add(Counters.Name.CONNECTIONS_OPENED);
-            Duration left = MonotonicClock.until(until);
-            boolean requestFirst = left.compareTo(connectLimit) < 0;
-            limit(
-                    requestFirst ? left : connectLimit,
-                    requestFirst ? Status.MOOT : Status.CONNECT_FAILED);
-            dial = loop.connect(address.get(), this::connected, this::notConnected);
+            Duration left = MonotonicClock.until(deadline);
+            boolean deadlineFirst = left.compareTo(maxConnectTime) < 0;
+            setTimer(
+                    deadlineFirst ? left : maxConnectTime,
+                    deadlineFirst ? Status.MOOT : Status.CONNECT_FAILED);
+            pendingConnection =
+                    loop.connect(address.get(), this::handleConnected, this::handleConnectFailure);
         }
 
-        private void connected(Connection up) {
-            if (over) {
+        private void handleConnected(Connection up) {
+            if (finished) {
                 close(up);
                 return;
             }
-            wire = up;
-            prepare(wire, this::begin, () -> end(Status.CONNECT_FAILED));
+            connection = up;
+            prepare(connection, this::sendRequest, () -> end(Status.CONNECT_FAILED));
         }
 
-        private void notConnected() {
-            connections--;
-            dial = null;
+        private void handleConnectFailure() {
+            openConnections--;
+            pendingConnection = null;
             end(Status.CONNECT_FAILED);
         }
 
-        private String use(InetSocketAddress address) {
+        private String poolKey(InetSocketAddress address) {
             return address + purpose();
         }
 
         /**
-         * The one place that says whether a request may begin at its node now; why not, where not.
-         * By the time that a slow connection is up the node may drain or listen elsewhere, the time
-         * may be up, or the client may have left. The last two say nothing of the node.
+         * Decides whether the request may be sent to its node now; gives the status to end with if
+         * not. While a slow connection is opened, the node may start to drain or move to another
+         * address, the deadline may pass, or the client may leave. The last two are no fault of the
+         * node.
          */
-        private Optional<Status> heldBack() {
-            if (MonotonicClock.until(until).isZero() || !wanted.getAsBoolean()) {
+        private Optional<Status> reasonNotToSend() {
+            if (MonotonicClock.until(deadline).isZero() || !wanted.getAsBoolean()) {
                 return Optional.of(Status.MOOT);
             }
             return directory
                             .findReady(node)
                             .flatMap(this::address)
-                            .map(this::use)
-                            .filter(use::equals)
+                            .map(this::poolKey)
+                            .filter(poolKey::equals)
                             .isPresent()
                     ? Optional.empty()
                     : Optional.of(Status.CONNECT_FAILED);
         }
 
-        private void begin() {
-            if (over) {
+        private void sendRequest() {
+            if (finished) {
                 return;
             }
-            Optional<Status> heldBack = heldBack();
-            if (heldBack.isPresent()) {
-                keep(wire, use, node);
-                wire = null;
-                holdBack(heldBack.get());
+            Optional<Status> reasonNotToSend = reasonNotToSend();
+            if (reasonNotToSend.isPresent()) {
+                addIdle(connection, poolKey, node);
+                connection = null;
+                endUnsent(reasonNotToSend.get());
                 return;
             }
-            Duration left = MonotonicClock.until(until);
-            begun = true;
-            limit(left, Status.TIMEOUT);
-            wire.readInto(this);
-            wire.send(message(left));
+            Duration left = MonotonicClock.until(deadline);
+            requestStarted = true;
+            setTimer(left, Status.TIMEOUT);
+            connection.readInto(this);
+            connection.send(message(left));
         }
 
-        private void holdBack(Status status) {
+        private void endUnsent(Status status) {
             counters.add(Counters.Name.HELD_BACK_AT_NODE);
             end(status);
         }
 
         /**
-         * What cannot be read is a failed attempt that may have run. It tells that the node lives,
-         * so it is an error and not a reset; its connection is of no further use.
+         * Handles input. An unreadable answer is a failed attempt that may have run. It shows that
+         * the node is alive, so it counts as an error and not as a reset; the connection is closed.
          */
         @Override
         public final void received(ByteBuffer in) {
-            Optional<Status> whole;
-            heard++;
+            Optional<Status> status;
+            readCount++;
             try {
-                whole = read(in);
-            } catch (IOException spoilt) {
-                spoilt();
+                status = read(in);
+            } catch (IOException unreadable) {
+                endUnreadable();
                 return;
             }
-            if (whole.isEmpty()) {
+            if (status.isEmpty()) {
                 maxSilence().ifPresent(this::watchSilence);
-            } else if (whole.get() == Status.OK && wire.unsentBytes() > 0) {
-                spoilt(); // no answer to a request that is not all written
+            } else if (status.get() == Status.OK && connection.unsentBytes() > 0) {
+                endUnreadable(); // not an answer to this request, which is not fully written
             } else {
-                if (!in.hasRemaining() && isReusable() && wire.unsentBytes() == 0) {
-                    keep(wire, use, node);
-                    wire = null;
+                if (!in.hasRemaining() && isReusable() && connection.unsentBytes() == 0) {
+                    addIdle(connection, poolKey, node);
+                    connection = null;
                 }
-                end(whole.get());
+                end(status.get());
             }
         }
 
-        private void spoilt() {
+        private void endUnreadable() {
             counters.add(Counters.Name.SPOILT);
-            end(written(Status.ERROR));
+            end(statusIfWritten(Status.ERROR));
         }
 
         /**
-         * Guards against an answer that stops halfway on a connection that stays open. One timer an
-         * exchange, taken back at its end: one for each part kept the bodies of all that had ended
-         * lately in the heap.
+         * Detects an answer that stops halfway on a connection that stays open. Uses one timer per
+         * exchange, which is cancelled at its end: with a timer for each read, the pending timers
+         * kept the bodies of recently ended exchanges in the heap.
          */
-        private void watchSilence(Duration most) {
-            lastHeard = MonotonicClock.now();
-            if (silence == null) {
-                silence = loop.executeAfter(most, () -> silent(most));
+        private void watchSilence(Duration maxSilence) {
+            lastReadAt = MonotonicClock.now();
+            if (silenceTimer == null) {
+                silenceTimer = loop.executeAfter(maxSilence, () -> checkSilence(maxSilence));
             }
         }
 
-        private void silent(Duration most) {
-            silence = null;
-            Duration quiet = Duration.between(lastHeard, MonotonicClock.now());
-            if (quiet.compareTo(most) < 0) {
-                silence = loop.executeAfter(most.minus(quiet), () -> silent(most));
+        private void checkSilence(Duration maxSilence) {
+            silenceTimer = null;
+            Duration elapsed = Duration.between(lastReadAt, MonotonicClock.now());
+            if (elapsed.compareTo(maxSilence) < 0) {
+                silenceTimer =
+                        loop.executeAfter(
+                                maxSilence.minus(elapsed), () -> checkSilence(maxSilence));
                 return;
             }
-            int before = heard;
-            wire.readNow(); // what came while this program had no time
-            if (!over && heard == before) {
-                spoilt();
+            int readsBefore = readCount;
+            connection.readNow(); // input that arrived while this thread was busy
+            if (!finished && readCount == readsBefore) {
+                endUnreadable();
             }
         }
 
         @Override
         public final void ended() {
-            end(readEndOfStream().orElseGet(() -> written(Status.RESET)));
+            end(readEndOfStream().orElseGet(() -> statusIfWritten(Status.RESET)));
         }
 
         /**
-         * Guards against the cut part of an answer without a length being served as the whole of
-         * it.
+         * A failed connection never completes an answer, so a cut answer without a length is not
+         * served.
          */
         @Override
         public final void failed() {
-            end(written(Status.RESET));
+            end(statusIfWritten(Status.RESET));
         }
 
-        /** Work whose last byte was not written has never run; after that it may have. */
-        private Status written(Status status) {
-            return begun && !over && wire.unsentBytes() > 0 ? Status.CONNECT_FAILED : status;
+        /** A request whose last byte was not written has never run; after that it may have. */
+        private Status statusIfWritten(Status status) {
+            return requestStarted && !finished && connection.unsentBytes() > 0
+                    ? Status.CONNECT_FAILED
+                    : status;
         }
 
-        private void limit(Duration left, Status status) {
-            if (limit != null) {
-                limit.remove();
+        private void setTimer(Duration left, Status status) {
+            if (timer != null) {
+                timer.remove();
             }
-            limit =
+            timer =
                     loop.executeAfter(
                             left,
                             () -> {
-                                if (begun && !over) {
-                                    wire.readNow(); // the answer may be here, and not heard of yet
+                                if (requestStarted && !finished) {
+                                    connection.readNow(); // the answer may have arrived unread
                                 }
-                                end(written(status));
+                                end(statusIfWritten(status));
                             });
         }
 
         /**
-         * The one end of an exchange. Its connection is closed, unless it was kept, before anyone
-         * hears.
+         * Ends the exchange, once. Its connection, unless it went back to the pool, is closed
+         * before the result is passed on.
          */
         private void end(Status status) {
-            if (over) {
+            if (finished) {
                 return;
             }
-            over = true;
-            if (limit != null) {
-                limit.remove();
+            finished = true;
+            if (timer != null) {
+                timer.remove();
             }
-            if (silence != null) {
-                silence.remove();
+            if (silenceTimer != null) {
+                silenceTimer.remove();
             }
-            if (wire != null) {
-                close(wire);
-            } else if (dial != null) {
-                dial.cancel();
+            if (connection != null) {
+                close(connection);
+            } else if (pendingConnection != null) {
+                pendingConnection.cancel();
             }
-            Duration took =
-                    Duration.between(opened, MonotonicClock.now()).minus(loop.meanLateness());
-            NodeLink.AttemptResult ending =
+            Duration duration =
+                    Duration.between(startedAt, MonotonicClock.now()).minus(loop.meanLateness());
+            NodeLink.AttemptResult result =
                     NodeLink.AttemptResult.fromResponse(
                             status,
                             answer(),
                             responseMetadata(),
-                            took.isNegative() ? Duration.ZERO : took);
+                            duration.isNegative() ? Duration.ZERO : duration);
             release();
-            ended.accept(ending);
+            resultConsumer.accept(result);
         }
     }
 }
--- a/src/main/java/cypressglade/net/UdpSocket.java
+++ b/src/main/java/cypressglade/net/UdpSocket.java
@@ -9,24 +9,33 @@
 import org.xnio.channels.MulticastMessageChannel;
 import org.xnio.channels.SocketAddressBuffer;
 
-/** A UDP socket on the I/O thread. What the network or a full buffer loses is lost. */
+/**
+ * A UDP socket that is read on the I/O thread. Datagrams that the network or a full buffer drops
+ * are not sent again.
+ */
 public final class UdpSocket implements AutoCloseable {
-    /** Fits an Ethernet frame with room for tunnels. */
+    /**
+     * The longest datagram, in bytes: fits into an Ethernet frame and leaves room for tunnel
+     * headers.
+     */
     public static final int MAX_DATAGRAM_BYTES = 1400;
 
-    /** Taken at a time, so that a flood leaves the I/O thread to the others in between. */
-    private static final int AT_A_TIME = 16;
+    /**
+     * Bounds one read event, so that a flood of datagrams does not starve the other connections.
+     */
+    private static final int MAX_DATAGRAMS_PER_EVENT = 16;
 
     private final ByteBuffer input = ByteBuffer.allocate(MAX_DATAGRAM_BYTES + 1);
     private final SocketAddressBuffer sender = new SocketAddressBuffer();
     private final MulticastMessageChannel channel;
     private final Receiver receiver;
 
-    /**
-     * Hears what comes, on the I/O thread; a datagram over the bound comes cut off at one byte
-     * more.
-     */
+    /** Receives datagrams on the I/O thread. */
     public interface Receiver {
+        /**
+         * A datagram arrived. One that is longer than {@link #MAX_DATAGRAM_BYTES} is truncated to
+         * one byte more than that.
+         */
         void received(InetSocketAddress from, byte[] datagram);
     }
 
@@ -39,7 +48,7 @@
 
     private void receive() {
         try {
-            for (int i = 0; i < AT_A_TIME; i++) {
+            for (int i = 0; i < MAX_DATAGRAMS_PER_EVENT; i++) {
                 input.clear();
                 sender.clear();
                 if (channel.receiveFrom(sender, input) <= 0) {
@@ -50,11 +59,16 @@
                 receiver.received((InetSocketAddress) sender.getSourceAddress(), datagram);
             }
         } catch (IOException broken) {
-            // such as an ICMP error of what was sent before: the next receive goes on
+            // such as an ICMP error caused by an earlier send; the next receive works again
         }
     }
 
-    /** Sends from any thread; false where the socket takes nothing now. */
+    /**
+     * Sends a datagram; may be called from any thread.
+     *
+     * @return whether the socket accepted it; false where its buffer is full or the address is
+     *     unreachable
+     */
     public boolean send(InetSocketAddress to, byte[] datagram) {
         try {
             return channel.sendTo(to, ByteBuffer.wrap(datagram));
--- a/src/test/java/cypressglade/http/DiscoveryWatchTest.java
+++ b/src/test/java/cypressglade/http/DiscoveryWatchTest.java
@@ -31,18 +31,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Every way in which a list comes, or fails to come, from a discovery that is scripted on a real
- * socket.
+ * Checks how lists arrive, or fail to arrive, from a scripted discovery service on a real socket.
  */
 class DiscoveryWatchTest {
-    private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    private static final String DRAINS =
+    private static final String RESPONSE_HEAD =
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    private static final String LIST_WITH_DRAIN =
             "{\n  \"version\": 7,\n  \"full\": false,\n  \"servers\": [\n    {\n"
                     + "      \"id\": \"s-{]\\\"0\",\n      \"addr\": \"127.0.0.1:1\",\n"
                     + "      \"cell\": 0,\n"
                     + "      \"state\": \"leaving\",\n      \"weight\": 1.0\n    }\n  ]\n}\n";
 
-    private final LinkedBlockingQueue<NodeList> told = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<NodeList> lists = new LinkedBlockingQueue<>();
     private final Counters counters = new Counters();
 
     private DiscoveryWatch watch(EventLoop loop, InetSocketAddress address) {
@@ -52,7 +52,7 @@
                         address,
                         new NodeListParser(List.of("a"), List.of("m")),
                         new NodeDirectory(),
-                        told::add,
+                        lists::add,
                         counters,
                         false);
         watch.start();
@@ -63,17 +63,18 @@
         HttpPeer.write(out, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
     }
 
-    private void assertDrainIsTold() throws InterruptedException {
-        NodeList list = told.poll(6, TimeUnit.SECONDS);
-        assertThat(list).as("told in time").isNotNull();
+    private void assertDrainArrives() throws InterruptedException {
+        NodeList list = lists.poll(6, TimeUnit.SECONDS);
+        assertThat(list).as("received in time").isNotNull();
         assertThat(list.version()).isEqualTo(7);
         assertThat(list.entries()).extracting(NodeList.Entry::id).containsExactly("s-{]\"0");
     }
 
     /**
-     * The arithmetic of the design: from the last sign of life, or from when discovery can be
-     * reached, to the list, with as many calls that fail in their worst way as may be; against what
-     * counts as told.
+     * Adds up the time limits: from the last message of a watch, or from when discovery can be
+     * reached again, through the given number of calls that fail as late as possible, to the list.
+     * The sum must stay below the time after which the platform expects this program to know a
+     * change.
      */
     @ParameterizedTest
     @CsvSource({
@@ -84,56 +85,59 @@
         "hang-up,false,2,4000",
         "hang-up,true,1,4000"
     })
-    void whatCountsAsToldIsHereByThen(String from, boolean asked, int failed, long toldAfterMs) {
-        Limits limits = asked ? Limits.ASKED : Limits.PUSHED;
-        Duration most = from.equals("silent") ? limits.found() : Duration.ZERO;
+    void changeArrivesWithinThePlatformsLimitAfterFailedCalls(
+            String start, boolean centralService, int failedCalls, long limitMillis) {
+        Limits limits = centralService ? Limits.CENTRAL_SERVICE : Limits.LOCAL_AGENT;
+        Duration longest = start.equals("silent") ? limits.maxDetectionTime() : Duration.ZERO;
         Duration call =
-                from.equals("reachable") // the last of many that were not answered
-                        ? limits.connect().plus(limits.mostAnswer()).plus(limits.again())
-                        : limits.failed();
-        most = most.plus(call.multipliedBy(failed));
-        // a connection, a call and its answer, where all is well
+                start.equals("reachable") // the last of many unanswered calls
+                        ? limits.connectTimeout()
+                                .plus(limits.maxResponseTimeout())
+                                .plus(limits.reconnectDelay())
+                        : limits.maxFailedCallTime();
+        longest = longest.plus(call.multipliedBy(failedCalls));
+        // a connection, a call and its response without failures
         Duration answer = Duration.ofMillis(50);
-        assertThat(most.plus(answer)).isLessThan(Duration.ofMillis(toldAfterMs));
+        assertThat(longest.plus(answer)).isLessThan(Duration.ofMillis(limitMillis));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 7, 1000})
-    void aListOverManyLinesAndInPiecesIsTakenAsOne(int size) throws Exception {
+    void listSplitOverLinesAndChunksIsReadAsOne(int size) throws Exception {
         try (EventLoop loop = new EventLoop();
                 HttpPeer agent =
                         new HttpPeer(
                                 (request, out) -> {
-                                    HttpPeer.write(out, HEAD);
-                                    for (int at = 0; at < DRAINS.length(); at += size) {
-                                        int end = Math.min(DRAINS.length(), at + size);
-                                        chunk(out, DRAINS.substring(at, end));
+                                    HttpPeer.write(out, RESPONSE_HEAD);
+                                    for (int at = 0; at < LIST_WITH_DRAIN.length(); at += size) {
+                                        int end = Math.min(LIST_WITH_DRAIN.length(), at + size);
+                                        chunk(out, LIST_WITH_DRAIN.substring(at, end));
                                     }
                                     new CountDownLatch(1).await();
                                 })) {
             watch(loop, agent.address());
-            assertDrainIsTold();
+            assertDrainArrives();
             assertThat(counters.get(Counters.Name.WATCH_BROKEN)).isZero();
         }
     }
 
     /**
-     * The first call is accepted and then: nothing, half an answer, half a list, a reset, an end, a
-     * refusal.
+     * The first call is accepted, and then comes: nothing, half a response, half a list, a reset,
+     * an end of stream, an error status, or malformed data.
      */
     @ParameterizedTest
     @ValueSource(
             strings = {
                 "",
-                HEAD,
-                HEAD + "10\r\n{\"version\":7,\"se\r\n",
+                RESPONSE_HEAD,
+                RESPONSE_HEAD + "10\r\n{\"version\":7,\"se\r\n",
                 "reset",
                 "end",
                 "HTTP/1.1 503 X\r\n" + "Content-Length: 0\r\n\r\n",
-                HEAD + "2\r\nno\r\n",
-                HEAD + "12\r\n{\"version\":\"7\n\"}\n\r\n"
+                RESPONSE_HEAD + "2\r\nno\r\n",
+                RESPONSE_HEAD + "12\r\n{\"version\":\"7\n\"}\n\r\n"
             })
-    void aCallThatFailsIsMadeAgainInTime(String first) throws Exception {
+    void failedCallIsRetriedInTime(String first) throws Exception {
         AtomicInteger calls = new AtomicInteger();
         try (EventLoop loop = new EventLoop();
                 HttpPeer agent =
@@ -147,36 +151,37 @@
                                         }
                                         HttpPeer.write(out, first);
                                     } else {
-                                        HttpPeer.write(out, HEAD);
-                                        chunk(out, DRAINS);
+                                        HttpPeer.write(out, RESPONSE_HEAD);
+                                        chunk(out, LIST_WITH_DRAIN);
                                     }
                                     new CountDownLatch(1).await();
                                 })) {
             watch(loop, agent.address());
-            assertDrainIsTold();
+            assertDrainArrives();
             assertThat(calls).hasValue(2);
         }
     }
 
     /**
-     * A discovery whose connections never come up is left for the one that a new configuration
-     * names.
+     * A connection to discovery that is never accepted must not delay the switch to the address of
+     * a new configuration.
      */
     @Test
-    void aConnectionThatNeverComesUpHoldsNothingUp() throws Exception {
+    void reconfigureLeavesAnAddressThatNeverAcceptsConnections() throws Exception {
         List<Socket> fillers = new ArrayList<>();
         try (EventLoop loop = new EventLoop();
-                ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+                ServerSocket unresponsive =
+                        new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 HttpPeer agent =
                         new HttpPeer(
                                 (request, out) -> {
-                                    HttpPeer.write(out, HEAD);
-                                    chunk(out, DRAINS);
+                                    HttpPeer.write(out, RESPONSE_HEAD);
+                                    chunk(out, LIST_WITH_DRAIN);
                                     new CountDownLatch(1).await();
                                 })) {
-            InetSocketAddress address = (InetSocketAddress) deaf.getLocalSocketAddress();
-            while (fillers.size()
-                    < 3) { // a full backlog swallows connections, as a machine that is cut off does
+            InetSocketAddress address = (InetSocketAddress) unresponsive.getLocalSocketAddress();
+            // A full accept backlog drops connections, as an unreachable machine does.
+            while (fillers.size() < 3) {
                 Socket filler = new Socket();
                 fillers.add(filler);
                 try {
@@ -192,7 +197,7 @@
             }
             assertThat(counters.get(Counters.Name.WATCH_BROKEN)).isGreaterThanOrEqualTo(2);
             watch.reconfigure(agent.address(), new NodeListParser(List.of("a"), List.of("m")));
-            assertDrainIsTold();
+            assertDrainArrives();
         } finally {
             for (Socket filler : fillers) {
                 filler.close();
@@ -201,11 +206,10 @@
     }
 
     /**
-     * Half a list that goes on coming byte by byte is no sign of life: its change may never be
-     * whole.
+     * An incomplete list that arrives byte by byte is no keep-alive, as it may never be complete.
      */
     @Test
-    void halfAnObjectKeepsNoWatchAlive() throws Exception {
+    void incompleteObjectIsNoKeepAlive() throws Exception {
         String oneAndAHalf = "{\"version\":1,\"full\":false,\"servers\":[]}\n{\"version\":7,";
         AtomicInteger calls = new AtomicInteger();
         CountDownLatch again = new CountDownLatch(1);
@@ -213,7 +217,7 @@
                 HttpPeer agent =
                         new HttpPeer(
                                 (request, out) -> {
-                                    HttpPeer.write(out, HEAD);
+                                    HttpPeer.write(out, RESPONSE_HEAD);
                                     if (calls.incrementAndGet() == 1) {
                                         chunk(out, oneAndAHalf);
                                         while (!again.await(200, TimeUnit.MILLISECONDS)) {
@@ -221,19 +225,19 @@
                                         }
                                     } else {
                                         again.countDown();
-                                        chunk(out, DRAINS);
+                                        chunk(out, LIST_WITH_DRAIN);
                                         new CountDownLatch(1).await();
                                     }
                                 })) {
             watch(loop, agent.address());
-            assertThat(told.poll(5, TimeUnit.SECONDS).version()).isEqualTo(1);
-            assertDrainIsTold();
+            assertThat(lists.poll(5, TimeUnit.SECONDS).version()).isEqualTo(1);
+            assertDrainArrives();
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"]", "x", "{\"a\":\"\n"})
-    void whatIsNoStreamOfObjectsIsToldAtItsFirstWrongByte(String text) {
+    void malformedStreamIsRejectedAtItsFirstWrongByte(String text) {
         JsonFraming framing =
                 new JsonFraming(
                         new JsonFraming.Handler() {
--- a/src/test/java/cypressglade/http/LoadReportTest.java
+++ b/src/test/java/cypressglade/http/LoadReportTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What answers tell beside themselves, read as the module's figures; what cannot be read tells
- * nothing.
+ * Load report headers converted to the scheduling policy's figures; unreadable figures count as
+ * absent.
  */
 class LoadReportTest {
     private static final List<String> NAMES = List.of("queue", "latency_ms");
@@ -28,16 +28,17 @@
             NaN   | 7d   | 0  | 0
             99999 | 5    | 65535 | 5
             """)
-    void useAndUnitsByOthers(String volumeLoad, String otherHosts, int used, int byOthers) {
-        NodeLink.ResponseMetadata told =
+    void useAndUnitsByOthersAreParsedOrZero(
+            String volumeLoad, String otherHosts, int usePercentPlusOne, int unitsByOthers) {
+        NodeLink.ResponseMetadata metadata =
                 new LoadReport(volumeLoad, otherHosts, "").toResponseMetadata(NAMES);
-        assertThat(told.usePercentPlusOne()).isEqualTo(used);
-        assertThat(told.unitsByOthers()).isEqualTo(byOthers);
-        assertThat(told.load()).isEmpty();
+        assertThat(metadata.usePercentPlusOne()).isEqualTo(usePercentPlusOne);
+        assertThat(metadata.unitsByOthers()).isEqualTo(unitsByOthers);
+        assertThat(metadata.load()).isEmpty();
     }
 
     @Test
-    void loadIsTakenByTheNamesOfTheSettingsInTheirOrder() {
+    void loadFiguresHaveTheOrderOfTheSettingsNames() {
         assertThat(
                         new LoadReport("", "", "TEXT latency_ms=41.5, inflight=7, queue=2")
                                 .toResponseMetadata(NAMES)
@@ -56,12 +57,12 @@
             TEXT queue=2; latency_ms=4
             ''
             """)
-    void aReportThatIsNotWholeTellsNoLoad(String metrics) {
+    void incompleteReportGivesNoLoad(String metrics) {
         assertThat(new LoadReport("", "", metrics).toResponseMetadata(NAMES).load()).isEmpty();
     }
 
     @Test
-    void namesAreTakenWhateverTheirCase() {
+    void namesAreMatchedIgnoringCase() {
         assertThat(
                         new LoadReport("", "", "text Queue=2, LATENCY_MS=4")
                                 .toResponseMetadata(List.of("queue", "Latency_ms"))
@@ -70,7 +71,7 @@
     }
 
     @Test
-    void aNameToldTwiceCountsOnce() {
+    void firstValueOfARepeatedNameCounts() {
         assertThat(
                         new LoadReport("", "", "TEXT queue=2, queue=9, latency_ms=4")
                                 .toResponseMetadata(NAMES)
--- a/src/test/java/cypressglade/http/NodeClientTest.java
+++ b/src/test/java/cypressglade/http/NodeClientTest.java
@@ -25,11 +25,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What a node's answer tells beside itself reaches the module, as the simulator's wire would tell
- * it.
+ * The load figures in a node's answer reach the scheduling policy as the simulator's protocol has
+ * them.
  */
 class NodeClientTest {
-    private static final String TOLD =
+    private static final String LOAD_HEADERS =
             "Volume-Load: 240\r\nOther-Hosts: 6\r\n"
                     + "Endpoint-Load-Metrics: TEXT queue=3, latency_ms=52.5\r\n";
 
@@ -60,7 +60,7 @@
                             Duration.ofSeconds(5),
                             4);
             NodeClient client = new NodeClient(pool, 1 << 20, List.of("queue", "latency_ms"));
-            CompletableFuture<NodeLink.AttemptResult> ended = new CompletableFuture<>();
+            CompletableFuture<NodeLink.AttemptResult> result = new CompletableFuture<>();
             client.send(
                     1,
                     new HttpWork(
@@ -71,53 +71,54 @@
                             new byte[0]),
                     MonotonicClock.now().plusSeconds(5),
                     () -> true,
-                    ended::complete);
-            return ended.get(5, TimeUnit.SECONDS);
+                    result::complete);
+            return result.get(5, TimeUnit.SECONDS);
         }
     }
 
     @Test
-    void aServedAnswerTellsUseUnitsByOthersAndLoad() throws Exception {
-        NodeLink.AttemptResult ending = exchange(HttpPeer.answer(200, TOLD, "entry"));
-        assertThat(ending.status()).isEqualTo(Status.OK);
-        assertThat(new String(ending.answer(), java.nio.charset.StandardCharsets.US_ASCII))
+    void servedAnswerReportsUseUnitsByOthersAndLoad() throws Exception {
+        NodeLink.AttemptResult result = exchange(HttpPeer.answer(200, LOAD_HEADERS, "entry"));
+        assertThat(result.status()).isEqualTo(Status.OK);
+        assertThat(new String(result.answer(), java.nio.charset.StandardCharsets.US_ASCII))
                 .isEqualTo("entry");
-        assertThat(ending.metadata().usePercentPlusOne()).isEqualTo(241);
-        assertThat(ending.metadata().unitsByOthers()).isEqualTo(6);
-        assertThat(ending.metadata().load()).containsExactly(3f, 52.5f);
+        assertThat(result.metadata().usePercentPlusOne()).isEqualTo(241);
+        assertThat(result.metadata().unitsByOthers()).isEqualTo(6);
+        assertThat(result.metadata().load()).containsExactly(3f, 52.5f);
     }
 
     @Test
-    void anAnswerTurnedAwayTellsTooButCarriesNoBody() throws Exception {
-        NodeLink.AttemptResult ending =
-                exchange(HttpPeer.answer(503, "X-Never-Ran: 1\r\n" + TOLD, "full"));
-        assertThat(ending.status()).isEqualTo(Status.FULL);
-        assertThat(ending.answer()).isEmpty();
-        assertThat(ending.metadata().usePercentPlusOne()).isEqualTo(241);
+    void rejectionReportsLoadButHasNoBody() throws Exception {
+        NodeLink.AttemptResult result =
+                exchange(HttpPeer.answer(503, "X-Never-Ran: 1\r\n" + LOAD_HEADERS, "full"));
+        assertThat(result.status()).isEqualTo(Status.FULL);
+        assertThat(result.answer()).isEmpty();
+        assertThat(result.metadata().usePercentPlusOne()).isEqualTo(241);
     }
 
     @Test
-    void anAnswerCutShortTellsNothing() throws Exception {
-        NodeLink.AttemptResult ending =
+    void truncatedAnswerReportsNothing() throws Exception {
+        NodeLink.AttemptResult result =
                 exchange(
                         (request, out) -> {
                             HttpPeer.write(
                                     out,
                                     "HTTP/1.1 200 OK\r\n"
-                                            + TOLD
+                                            + LOAD_HEADERS
                                             + "Content-Length: 10\r\n\r\nhalf");
                             throw new IOException("cut");
                         });
-        assertThat(ending.status()).isNotEqualTo(Status.OK);
-        assertThat(ending.metadata().usePercentPlusOne()).isZero();
-        assertThat(ending.metadata().load()).isEmpty();
+        assertThat(result.status()).isNotEqualTo(Status.OK);
+        assertThat(result.metadata().usePercentPlusOne()).isZero();
+        assertThat(result.metadata().load()).isEmpty();
     }
 
-    /** An answer with no length is whole where its connection ends, and not where that is reset. */
+    /** An answer without a length is complete at the end of the stream, but not after a reset. */
     @ParameterizedTest
     @CsvSource({"false,OK", "true,RESET"})
-    void onlyAnOrderlyEndEndsAnAnswerWithoutALength(boolean reset, Status status) throws Exception {
-        NodeLink.AttemptResult ending =
+    void onlyEndOfStreamCompletesAnAnswerWithoutALength(boolean reset, Status status)
+            throws Exception {
+        NodeLink.AttemptResult result =
                 exchange(
                         (request, out) -> {
                             HttpPeer.write(
@@ -126,6 +127,6 @@
                                             + "half of the entry");
                             throw reset ? new StandIn.Reset() : new IOException("the end");
                         });
-        assertThat(ending.status()).isEqualTo(status);
+        assertThat(result.status()).isEqualTo(status);
     }
 }
--- a/src/test/java/cypressglade/http/ResponseParserTest.java
+++ b/src/test/java/cypressglade/http/ResponseParserTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Answers of nodes and of discovery, split at any byte. */
+/** Parses responses of nodes and of discovery, split at any byte. */
 class ResponseParserTest {
     private final StringBuilder body = new StringBuilder();
     private final ResponseParser parser =
             new ResponseParser(
-                    part -> body.append(StandardCharsets.ISO_8859_1.decode(part)), 10_000);
+                    fragment -> body.append(StandardCharsets.ISO_8859_1.decode(fragment)), 10_000);
 
     private static ByteBuffer bytes(String text) {
         return ResponseParser.ascii(text.replace("~", "\r\n"));
@@ -37,7 +37,7 @@
             HTTP/1.1 200 OK~Endpoint-Load-Metrics: \1{=\u00e9~Content-Length: 1~~x | 200 | x | true | false
             HTTP/1.1 103 A~Content-Length: 9~X-Never-Ran: 1~~HTTP/1.1 200 B~Content-Length: 1~~x | 200 | x | true | false
             """)
-    void wholeAnswerIsReadHoweverItIsSplit(
+    void completeResponseIsParsedWhereverItIsSplit(
             String text, int status, String data, boolean reusable, boolean neverRan)
             throws IOException {
         ByteBuffer all = bytes(text);
@@ -81,7 +81,7 @@
                 "HTTP/1.1 200 OK~Transfer-Encoding: chunked~~1~ab",
                 "HTTP/1.1 200 OK~Transfer-Encoding: chunked~~x"
             })
-    void garbageIsReported(String text) {
+    void malformedResponseIsRejected(String text) {
         assertThatThrownBy(() -> parser.feed(bytes(text))).isInstanceOf(IOException.class);
     }
 
@@ -95,16 +95,16 @@
             HTTP/1.1 200 OK~Transfer-Encoding: chunked~~3~abc~ | false
             HTTP/1.1 200 OK~Content-Le | false
             """)
-    void endOfTheConnectionEndsOnlyAnAnswerWithoutALength(String text, boolean whole)
+    void endOfStreamCompletesOnlyAResponseWithoutALength(String text, boolean complete)
             throws IOException {
         assertThat(parser.feed(bytes(text))).isFalse();
-        assertThat(parser.readEndOfStream()).isEqualTo(whole);
+        assertThat(parser.readEndOfStream()).isEqualTo(complete);
         assertThat(parser.isReusable()).isFalse();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"a", "a~b:"})
-    void endlessHeadIsCut(String filler) {
+    void overlongHeadIsRejected(String filler) {
         assertThatThrownBy(() -> parser.feed(bytes("HTTP/1.1 200 OK~X: " + filler.repeat(20_000))))
                 .isInstanceOf(IOException.class);
     }
--- a/src/test/java/cypressglade/net/NodePoolTest.java
+++ b/src/test/java/cypressglade/net/NodePoolTest.java
@@ -32,29 +32,29 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Node connections by themselves, against a node that answers each byte with a byte. */
+/** The node pool on its own, against a node that answers each byte with a byte. */
 class NodePoolTest {
-    private static final Duration LONG = Duration.ofSeconds(5);
+    private static final Duration LONG_TIMEOUT = Duration.ofSeconds(5);
 
-    private final AtomicInteger bytes = new AtomicInteger();
+    private final AtomicInteger bytesAtNode = new AtomicInteger();
     private volatile boolean wanted = true;
     private final NodeDirectory directory = new NodeDirectory();
-    private final CountDownLatch nodeSawTheEnd = new CountDownLatch(1);
+    private final CountDownLatch nodeSawEndOfStream = new CountDownLatch(1);
     private final StandIn node =
             new StandIn() {
                 @Override
                 protected void talk(DataInputStream in, DataOutputStream out) throws Exception {
                     for (int next = in.read(); next >= 0; next = in.read()) {
-                        bytes.incrementAndGet();
+                        bytesAtNode.incrementAndGet();
                         out.write(next);
                         out.flush();
                     }
-                    nodeSawTheEnd.countDown();
+                    nodeSawEndOfStream.countDown();
                 }
             };
 
     private NodeLink.AttemptResult exchange(
-            NodePool pool, long number, Duration time, Consumer<Runnable> prepares)
+            NodePool pool, long number, Duration time, Consumer<Runnable> preparation)
             throws Exception {
         CompletableFuture<NodeLink.AttemptResult> ended = new CompletableFuture<>();
         NodePool.Exchange exchange =
@@ -63,12 +63,13 @@
                         number, MonotonicClock.now().plus(time), () -> wanted, ended::complete) {
                     @Override
                     protected void prepare(Connection fresh, Runnable ready, Runnable unusable) {
-                        prepares.accept(ready);
+                        preparation.accept(ready);
                     }
 
                     @Override
-                    protected Optional<InetSocketAddress> address(NodeDirectory.ListedNode known) {
-                        return Optional.of(known.address());
+                    protected Optional<InetSocketAddress> address(
+                            NodeDirectory.ListedNode listedNode) {
+                        return Optional.of(listedNode.address());
                     }
 
                     @Override
@@ -101,32 +102,31 @@
         try (node;
                 EventLoop loop = new EventLoop()) {
             NodePool pool = pool(loop);
-            assertThat(exchange(pool, 1, LONG, Runnable::run).status()).isEqualTo(Status.OK);
-            assertThat(nodeSawTheEnd.await(5, TimeUnit.SECONDS)).isTrue();
-            assertThat(exchange(pool, 2, LONG, Runnable::run).status())
+            assertThat(exchange(pool, 1, LONG_TIMEOUT, Runnable::run).status())
+                    .isEqualTo(Status.OK);
+            assertThat(nodeSawEndOfStream.await(5, TimeUnit.SECONDS)).isTrue();
+            assertThat(exchange(pool, 2, LONG_TIMEOUT, Runnable::run).status())
                     .isEqualTo(Status.CONNECT_FAILED);
             assertThat(node.connections).hasValue(1);
         }
     }
 
-    /** Guards against a node being taken for dead when it was the request whose time ran out. */
+    /** Guards against a node being taken for dead when only the request's own deadline passed. */
     @Test
-    void slowConnectionSpeaksOfTheNodeOnlyWhereTheRequestHadTime() throws Exception {
+    void slowConnectionIsTheNodesFaultOnlyIfTheRequestHadTimeLeft() throws Exception {
         try (node;
                 EventLoop loop = new EventLoop()) {
             NodePool pool = pool(loop);
             assertThat(exchange(pool, 1, Duration.ofMillis(20), ready -> {}).status())
                     .isEqualTo(Status.MOOT);
-            assertThat(exchange(pool, 1, LONG, ready -> {}).status())
+            assertThat(exchange(pool, 1, LONG_TIMEOUT, ready -> {}).status())
                     .isEqualTo(Status.CONNECT_FAILED);
         }
     }
 
-    /**
-     * Guards against a slow connection carrying work to a node that was told to drain meanwhile.
-     */
+    /** Guards against a request on a slow connection to a node that started to drain meanwhile. */
     @Test
-    void drainToldWhileAConnectionComesUpHoldsTheRequestBack() throws Exception {
+    void drainDuringConnectPreventsTheRequest() throws Exception {
         try (node;
                 EventLoop loop = new EventLoop()) {
             NodePool pool = pool(loop);
@@ -134,26 +134,26 @@
                             exchange(
                                             pool,
                                             1,
-                                            LONG,
+                                            LONG_TIMEOUT,
                                             ready -> {
-                                                tell(State.DRAINING);
+                                                listNode(State.DRAINING);
                                                 ready.run();
                                             })
                                     .status())
                     .isEqualTo(Status.CONNECT_FAILED);
-            assertThat(nodeSawTheEnd.await(5, TimeUnit.SECONDS)).isTrue();
-            assertThat(bytes).hasValue(0);
+            assertThat(nodeSawEndOfStream.await(5, TimeUnit.SECONDS)).isTrue();
+            assertThat(bytesAtNode).hasValue(0);
         }
     }
 
     /**
-     * Guards against a slow connection carrying a request whose client has left, or to where the
-     * node was.
+     * Guards against a request on a slow connection after its client has left, or to the node's
+     * former address.
      */
     @ParameterizedTest
     @CsvSource({"true,MOOT", "false,CONNECT_FAILED"})
-    void whatChangesWhileAConnectionComesUpHoldsTheRequestBack(boolean clientLeaves, Status status)
-            throws Exception {
+    void clientLeavingOrAddressChangeDuringConnectPreventsTheRequest(
+            boolean clientLeaves, Status status) throws Exception {
         try (node;
                 EventLoop loop = new EventLoop()) {
             NodePool pool = pool(loop);
@@ -162,43 +162,42 @@
                     exchange(
                                     pool,
                                     1,
-                                    LONG,
+                                    LONG_TIMEOUT,
                                     ready -> {
                                         if (clientLeaves) {
                                             wanted = false;
                                         } else {
-                                            tell(State.READY, elsewhere);
+                                            listNode(State.READY, elsewhere);
                                         }
                                         ready.run();
                                     })
                             .status();
             assertThat(ended).isEqualTo(status);
-            assertThat(nodeSawTheEnd.await(5, TimeUnit.SECONDS)).isTrue();
-            assertThat(bytes).hasValue(0);
+            assertThat(nodeSawEndOfStream.await(5, TimeUnit.SECONDS)).isTrue();
+            assertThat(bytesAtNode).hasValue(0);
         }
     }
 
-    /** A request that nobody waits for opens no connection. */
     @Test
-    void whatIsNotWantedIsNotDialled() throws Exception {
+    void unwantedRequestOpensNoConnection() throws Exception {
         try (node;
                 EventLoop loop = new EventLoop()) {
             wanted = false;
-            assertThat(exchange(pool(loop), 1, LONG, Runnable::run).status())
+            assertThat(exchange(pool(loop), 1, LONG_TIMEOUT, Runnable::run).status())
                     .isEqualTo(Status.MOOT);
             assertThat(node.connections).hasValue(0);
         }
     }
 
     /**
-     * Guards against a write on a connection to the process before, which may have died without a
-     * word.
+     * Guards against a write on a connection to the node's previous process, which may have died
+     * without closing it.
      */
     @Test
-    void idleConnectionFromBeforeTheNodesStartIsNotUsed() throws Exception {
+    void idleConnectionFromBeforeTheNodesStartIsNotReused() throws Exception {
         try (node;
                 EventLoop loop = new EventLoop()) {
-            tell(State.READY);
+            listNode(State.READY);
             NodePool pool =
                     new NodePool(
                             loop,
@@ -207,8 +206,10 @@
                             Duration.ofMillis(250),
                             Duration.ofMinutes(1),
                             4);
-            assertThat(exchange(pool, 1, LONG, Runnable::run).status()).isEqualTo(Status.OK);
-            assertThat(exchange(pool, 1, LONG, Runnable::run).status()).isEqualTo(Status.OK);
+            assertThat(exchange(pool, 1, LONG_TIMEOUT, Runnable::run).status())
+                    .isEqualTo(Status.OK);
+            assertThat(exchange(pool, 1, LONG_TIMEOUT, Runnable::run).status())
+                    .isEqualTo(Status.OK);
             assertThat(node.connections).hasValue(1);
             directory.update(
                     new NodeList(
@@ -224,20 +225,21 @@
                                             State.READY,
                                             1,
                                             MonotonicClock.now()))));
-            assertThat(exchange(pool, 1, LONG, Runnable::run).status()).isEqualTo(Status.OK);
+            assertThat(exchange(pool, 1, LONG_TIMEOUT, Runnable::run).status())
+                    .isEqualTo(Status.OK);
             assertThat(node.connections).hasValue(2);
         }
     }
 
     /**
-     * Guards against connections that outlive their node, as descriptors of ours and as room of the
-     * node's.
+     * Guards against connections that outlive their node and occupy file descriptors here and
+     * connection slots at the node.
      */
     @Test
-    void idleConnectionGoesWithItsNode() throws Exception {
+    void idleConnectionIsClosedWhenItsNodeIsGone() throws Exception {
         try (node;
                 EventLoop loop = new EventLoop()) {
-            tell(State.READY);
+            listNode(State.READY);
             NodePool pool =
                     new NodePool(
                             loop,
@@ -246,23 +248,25 @@
                             Duration.ofMillis(250),
                             Duration.ofMinutes(1),
                             4);
-            assertThat(exchange(pool, 1, LONG, Runnable::run).status()).isEqualTo(Status.OK);
-            tell(State.GONE);
-            assertThat(nodeSawTheEnd.await(5, TimeUnit.SECONDS)).isTrue();
+            assertThat(exchange(pool, 1, LONG_TIMEOUT, Runnable::run).status())
+                    .isEqualTo(Status.OK);
+            listNode(State.GONE);
+            assertThat(nodeSawEndOfStream.await(5, TimeUnit.SECONDS)).isTrue();
         }
     }
 
     /**
-     * Guards against waiting on a machine that is cut off: a full backlog swallows connections as
-     * it does.
+     * Guards against waiting for an unreachable machine. A full accept backlog drops connections as
+     * such a machine does.
      */
     @Test
-    void connectionThatNeverComesUpEndsByItsLimit() throws Exception {
+    void connectTimeoutEndsAnAttemptToAnUnresponsiveAddress() throws Exception {
         List<Socket> fillers = new ArrayList<>();
         try (node;
                 EventLoop loop = new EventLoop();
-                ServerSocket deaf = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            InetSocketAddress address = (InetSocketAddress) deaf.getLocalSocketAddress();
+                ServerSocket unresponsive =
+                        new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            InetSocketAddress address = (InetSocketAddress) unresponsive.getLocalSocketAddress();
             try {
                 while (fillers.size() < 20) {
                     fillers.add(new Socket());
@@ -271,8 +275,8 @@
                 throw new AssertionError("the backlog has no end");
             } catch (SocketTimeoutException full) {
                 NodePool pool = pool(loop);
-                tell(State.READY, address);
-                assertThat(exchange(pool, 1, LONG, Runnable::run).status())
+                listNode(State.READY, address);
+                assertThat(exchange(pool, 1, LONG_TIMEOUT, Runnable::run).status())
                         .isEqualTo(Status.CONNECT_FAILED);
             }
         } finally {
@@ -282,11 +286,11 @@
         }
     }
 
-    private void tell(State state) {
-        tell(state, node.address());
+    private void listNode(State state) {
+        listNode(state, node.address());
     }
 
-    private void tell(State state, InetSocketAddress address) {
+    private void listNode(State state, InetSocketAddress address) {
         directory.update(
                 new NodeList(
                         1,
@@ -297,7 +301,7 @@
     }
 
     private NodePool pool(EventLoop loop) {
-        tell(State.READY);
+        listNode(State.READY);
         return new NodePool(
                 loop, directory, new Counters(), Duration.ofMillis(250), Duration.ofMillis(200), 4);
     }
