--- a/src/main/java/cypressglade/http/JsonFraming.java
+++ b/src/main/java/cypressglade/http/JsonFraming.java
@@ -26,14 +26,14 @@
         void lineRead();
     }
 
-    private final JsonFraming.Handler handler;
+    private final Handler handler;
     private final ByteArrayOutputStream object = new ByteArrayOutputStream();
     private int depth;
     private boolean isInString;
     private boolean isEscaped;
 
     /** Creates a splitter at the start of a stream. */
-    JsonFraming(JsonFraming.Handler handler) {
+    JsonFraming(Handler handler) {
         this.handler = handler;
     }
 
--- a/src/main/java/cypressglade/http/ResponseParser.java
+++ b/src/main/java/cypressglade/http/ResponseParser.java
@@ -39,7 +39,7 @@
         DONE
     }
 
-    private final ResponseParser.BodyConsumer body;
+    private final BodyConsumer body;
     private final long maxBodyBytes;
     private final StringBuilder line = new StringBuilder();
     private State state = State.STATUS_LINE;
@@ -58,7 +58,7 @@
      *
      * @param maxBodyBytes a longer body is an error
      */
-    ResponseParser(ResponseParser.BodyConsumer body, long maxBodyBytes) {
+    ResponseParser(BodyConsumer body, long maxBodyBytes) {
         this.body = body;
         this.maxBodyBytes = maxBodyBytes;
     }
--- a/src/main/java/cypressglade/net/NodePool.java
+++ b/src/main/java/cypressglade/net/NodePool.java
@@ -102,9 +102,8 @@
             this.connection = connection;
             this.poolKey = poolKey;
             this.node = node;
-            idleSince =
-                    connection.lastActivity(); // stays idle if it was taken from the pool but not
-            // used
+            // A connection that was taken from the pool but not used counts as idle all along.
+            idleSince = connection.lastActivity();
         }
 
         @Override
