--- a/src/main/java/cypressglade/cli/BanFile.java
+++ b/src/main/java/cypressglade/cli/BanFile.java
@@ -1,6 +1,6 @@
 package cypressglade.cli;
 
-import cypressglade.operate.HandDrains;
+import cypressglade.operate.ManualDrains;
 import cypressglade.snapshot.SnapshotStore;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
@@ -25,13 +25,13 @@
 
     private final SnapshotStore store;
     private final Path file;
-    private final HandDrains drains;
+    private final ManualDrains drains;
     private Optional<FileTime> seen = Optional.empty();
     private boolean restored;
     private boolean unwritten;
     private boolean failing;
 
-    BanFile(Path directory, HandDrains drains) {
+    BanFile(Path directory, ManualDrains drains) {
         store = new SnapshotStore(directory, NAME);
         file = directory.resolve(NAME + ".snap");
         this.drains = drains;
--- a/src/main/java/cypressglade/cli/Doorway.java
+++ b/src/main/java/cypressglade/cli/Doorway.java
@@ -1,13 +1,13 @@
 package cypressglade.cli;
 
-import cypressglade.control.DoorServer;
+import cypressglade.control.OperatorPortServer;
 import cypressglade.core.MonotonicClock;
 import cypressglade.core.Retry;
-import cypressglade.operate.Door;
-import cypressglade.operate.HandDrains;
-import cypressglade.operate.HandDrains.Kind;
-import cypressglade.operate.HandDrains.Result;
 import cypressglade.operate.Handover;
+import cypressglade.operate.ManualDrains;
+import cypressglade.operate.ManualDrains.Kind;
+import cypressglade.operate.ManualDrains.Result;
+import cypressglade.operate.OperatorProtocol;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
@@ -29,7 +29,7 @@
  * upgrade shares ({@code $TMPDIR}, {@code /tmp} without it), and the evacuation of clients. The
  * bans are written to the disk before the call is answered, on the door's thread.
  */
-final class Doorway implements Door.Acts, AutoCloseable {
+final class Doorway implements OperatorProtocol.Acts, AutoCloseable {
     private static final System.Logger LOG = System.getLogger(Doorway.class.getName());
     private static final int MOST_HOLDER = 128;
 
@@ -47,17 +47,17 @@
         /** Sends clients away, or takes them again. */
         void evacuate(boolean away);
 
-        /** What it sees of the fleet (see {@link Door.Acts#fleet}). */
+        /** What it sees of the fleet (see {@link OperatorProtocol.Acts#fleet}). */
         Optional<String> fleet();
 
         /** So many processes serve as this instance now (see {@link Handover}). */
         void beside(int processes);
     }
 
-    private final HandDrains drains;
+    private final ManualDrains drains;
     private final Scheduler scheduler;
     private final BanFile bans;
-    private final DoorServer server;
+    private final OperatorPortServer server;
     private final Path directory;
     private Optional<FileChannel> serving = Optional.empty();
     private Optional<UpgradeMark> mark = Optional.empty();
@@ -77,7 +77,7 @@
             InetSocketAddress address,
             String name,
             String temporary,
-            HandDrains drains,
+            ManualDrains drains,
             Scheduler scheduler)
             throws IOException {
         this.drains = drains;
@@ -95,8 +95,11 @@
                         "operators' door",
                         IOException.class::isInstance,
                         () ->
-                                new DoorServer(
-                                        address, new Door(this), this::look, MonotonicClock::now));
+                                new OperatorPortServer(
+                                        address,
+                                        new OperatorProtocol(this),
+                                        this::look,
+                                        MonotonicClock::now));
     }
 
     /** What is due now and then, on the door's thread. */
--- a/src/main/java/cypressglade/cli/Serve.java
+++ b/src/main/java/cypressglade/cli/Serve.java
@@ -2,7 +2,7 @@
 
 import cypressglade.config.Budget;
 import cypressglade.config.Config;
-import cypressglade.control.Control;
+import cypressglade.control.ControlService;
 import cypressglade.core.Counters;
 import cypressglade.core.Engine;
 import cypressglade.core.Micros;
@@ -19,7 +19,7 @@
 import cypressglade.nbd.NbdNodeLink;
 import cypressglade.net.Loop;
 import cypressglade.net.NodePool;
-import cypressglade.operate.HandDrains;
+import cypressglade.operate.ManualDrains;
 import cypressglade.peer.Peers;
 import cypressglade.peer.PeersConfig;
 import cypressglade.share.Verdicts.Verdict;
@@ -83,7 +83,7 @@
     private final Optional<NbdNodeLink> nbdNodes;
     private final Optional<NbdListener> blockClients;
     private final Optional<Peers> peers;
-    private final Optional<Control> control;
+    private final Optional<ControlService> control;
     private final Optional<Doorway> door;
     private final Optional<DoubtFile> doubts;
     private final AtomicLong evacuations = new AtomicLong();
@@ -119,7 +119,7 @@
                         nbdNodes.isPresent() && nbdNodes.get().speaksTo(directory.findReady(node))
                                 ? nbdNodes.get()
                                 : nodes);
-        HandDrains drains = new HandDrains(engine::updateNodes, this::decided);
+        ManualDrains drains = new ManualDrains(engine::updateNodes, this::decided);
         peers =
                 files.peers()
                         .map(
@@ -134,7 +134,7 @@
                 files.control().isEmpty()
                         ? Optional.empty()
                         : Optional.of(
-                                new Control(
+                                new ControlService(
                                         files.control().get(),
                                         engine,
                                         counters,
@@ -177,7 +177,7 @@
                                         }));
         boolean byHand =
                 control.isPresent() || door.isPresent() || peers.filter(Peers::shares).isPresent();
-        Consumer<NodeList> lists = byHand ? drains::told : engine::updateNodes;
+        Consumer<NodeList> lists = byHand ? drains::updateNodes : engine::updateNodes;
         lists.accept(config.known());
         discovery =
                 new DiscoveryWatch(
@@ -247,8 +247,8 @@
     }
 
     /** What was decided at another member, or here in a former life. */
-    private void ruled(Verdict verdict, HandDrains drains) {
-        if (drains.rule(
+    private void ruled(Verdict verdict, ManualDrains drains) {
+        if (drains.applyDecision(
                 verdict.subject(), verdict.action(), verdict.issuer(), verdict.issuedAt())) {
             return;
         }
@@ -402,7 +402,7 @@
         }
         doubts.ifPresent(kept -> kept.close(engine));
         peers.ifPresent(Peers::close);
-        control.ifPresent(Control::close);
+        control.ifPresent(ControlService::close);
         door.ifPresent(Doorway::close);
     }
 
@@ -448,7 +448,7 @@
     public void close() {
         door.ifPresent(Doorway::close);
         peers.ifPresent(Peers::close);
-        control.ifPresent(Control::close);
+        control.ifPresent(ControlService::close);
         clients.close();
         blockClients.ifPresent(NbdListener::close);
         pool.close();
--- a/src/main/java/cypressglade/console/Console.java
+++ b/src/main/java/cypressglade/console/Console.java
@@ -231,7 +231,7 @@
                 while (!leaving) {
                     state = "connected";
                     latest.set(View.of(JSON.readTree(line)));
-                    line = client.next();
+                    line = client.readLine();
                 }
             } catch (IOException gone) {
                 state = "NO SCHEDULER, trying";
--- a/src/main/java/cypressglade/control/ControlClient.java
+++ b/src/main/java/cypressglade/control/ControlClient.java
@@ -40,9 +40,9 @@
     /** Asks, and waits for the line of the answer. */
     public String call(String what, Map<String, String> fields) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (JsonGenerator out = Call.JSON.createGenerator(bytes)) {
+        try (JsonGenerator out = ControlRequest.JSON.createGenerator(bytes)) {
             out.writeStartObject();
-            out.writeNumberField("v", Call.VERSION);
+            out.writeNumberField("v", ControlRequest.VERSION);
             out.writeStringField("do", what);
             for (Map.Entry<String, String> field : fields.entrySet()) {
                 out.writeStringField(field.getKey(), field.getValue());
@@ -54,11 +54,11 @@
         while (line.hasRemaining()) {
             channel.write(line);
         }
-        return next();
+        return readLine();
     }
 
     /** The next line, such as a frame after {@code watch}. */
-    public String next() throws IOException {
+    public String readLine() throws IOException {
         String line = lines.readLine();
         if (line == null) {
             throw new IOException("the scheduler has ended the connection");
--- a/src/main/java/cypressglade/control/Call.java
+++ b/src/main/java/cypressglade/control/ControlRequest.java
@@ -15,7 +15,7 @@
  * v} is the version, {@code do} what is wanted, {@code id} comes back with the answer; others are
  * for what is wanted.
  */
-record Call(String id, String what, Map<String, String> fields) {
+record ControlRequest(String id, String action, Map<String, String> fields) {
     static final int VERSION = 1;
     private static final int MOST_TEXT = 4096;
     private static final int MOST_FIELDS = 16;
@@ -30,17 +30,17 @@
                     .build();
 
     /** What one line is answered with. */
-    interface Result {
+    interface BodyWriter {
         void write(JsonGenerator out) throws IOException;
     }
 
-    static Call parse(byte[] line) throws IOException {
+    static ControlRequest parse(byte[] line) throws IOException {
         Map<String, String> fields;
         try (JsonParser in = JSON.createParser(line)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw new IOException("a line must be one JSON object");
             }
-            fields = members(in);
+            fields = readFields(in);
             if (in.nextToken() != null) {
                 throw new IOException("something follows the object");
             }
@@ -51,11 +51,11 @@
         if (fields.getOrDefault("do", "").isEmpty()) {
             throw new IOException("\"do\" is missing");
         }
-        return new Call(fields.getOrDefault("id", ""), fields.get("do"), fields);
+        return new ControlRequest(fields.getOrDefault("id", ""), fields.get("do"), fields);
     }
 
     /** The members of the object that the parser has just begun: plain values, by name. */
-    static Map<String, String> members(JsonParser in) throws IOException {
+    static Map<String, String> readFields(JsonParser in) throws IOException {
         Map<String, String> fields = new LinkedHashMap<>();
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String name = in.currentName();
@@ -72,7 +72,7 @@
     }
 
     /** The line of an answer. */
-    static byte[] answer(String id, Result result) {
+    static byte[] answerLine(String id, ControlRequest.BodyWriter result) {
         return line(
                 out -> {
                     out.writeStringField("id", id);
@@ -82,7 +82,7 @@
     }
 
     /** The line of a refusal; says what is wrong and what to do next. */
-    static byte[] refusal(String id, String error, String remedy) {
+    static byte[] errorLine(String id, String error, String remedy) {
         return line(
                 out -> {
                     out.writeStringField("id", id);
@@ -92,7 +92,7 @@
                 });
     }
 
-    private static byte[] line(Result result) {
+    private static byte[] line(ControlRequest.BodyWriter result) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator(bytes)) {
             out.writeStartObject();
--- a/src/main/java/cypressglade/control/ControlServer.java
+++ b/src/main/java/cypressglade/control/ControlServer.java
@@ -53,13 +53,13 @@
 
     /** Answers calls, on the server's thread; the answer may come later, from any thread. */
     interface Handler {
-        void called(Call call, Consumer<byte[]> answer);
+        void handleRequest(ControlRequest call, Consumer<byte[]> answer);
 
         /** Called some four times a second, on the server's thread. */
         void tick();
 
         /** One line for all who watch; may come later, from any thread. */
-        void frame(Consumer<byte[]> line);
+        void writeStatusFrame(Consumer<byte[]> line);
     }
 
     /**
@@ -148,7 +148,7 @@
                 handler.tick();
                 if (watched && !now.isBefore(nextFrame)) {
                     nextFrame = now.plus(FRAME_GAP);
-                    handler.frame(line -> post(() -> show(line)));
+                    handler.writeStatusFrame(line -> post(() -> show(line)));
                 }
             }
         } catch (IOException broken) {
@@ -189,7 +189,7 @@
             if (clients.size() >= MOST_CLIENTS) {
                 channel.write(
                         ByteBuffer.wrap(
-                                Call.refusal(
+                                ControlRequest.errorLine(
                                         "",
                                         "there are " + MOST_CLIENTS + " clients already",
                                         "close a console and try again")));
@@ -288,13 +288,13 @@
 
         private void take(byte[] line) {
             try {
-                Call call = Call.parse(line);
-                if (call.what().equals("watch")) {
+                ControlRequest call = ControlRequest.parse(line);
+                if (call.action().equals("watch")) {
                     watching = true;
                     nextFrame = clock.get();
                     selector.wakeup();
                 } else {
-                    handler.called(call, answer -> post(() -> send(answer)));
+                    handler.handleRequest(call, answer -> post(() -> send(answer)));
                 }
             } catch (IOException bad) {
                 end(bad.getMessage().lines().findFirst().orElse("unreadable"));
@@ -303,7 +303,9 @@
 
         private void end(String why) {
             ending = true;
-            send(Call.refusal("", why, "send one JSON object a line, with \"v\":1 and \"do\""));
+            send(
+                    ControlRequest.errorLine(
+                            "", why, "send one JSON object a line, with \"v\":1 and \"do\""));
         }
 
         void send(byte[] line) {
--- a/src/main/java/cypressglade/control/Control.java
+++ b/src/main/java/cypressglade/control/ControlService.java
@@ -8,14 +8,14 @@
 import cypressglade.core.Scheduler;
 import cypressglade.core.Scheduler.Reason;
 import cypressglade.member.Member;
-import cypressglade.operate.Events;
-import cypressglade.operate.Events.Event;
-import cypressglade.operate.HandDrain;
-import cypressglade.operate.HandDrains;
-import cypressglade.operate.HandDrains.Order;
-import cypressglade.operate.HandDrains.Result;
-import cypressglade.operate.Picture;
-import cypressglade.operate.Pictures;
+import cypressglade.operate.EventLog;
+import cypressglade.operate.EventLog.Event;
+import cypressglade.operate.ManualDrain;
+import cypressglade.operate.ManualDrains;
+import cypressglade.operate.ManualDrains.Order;
+import cypressglade.operate.ManualDrains.Result;
+import cypressglade.operate.SchedulerStatus;
+import cypressglade.operate.StatusCache;
 import cypressglade.snapshot.SnapshotStore;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
@@ -33,8 +33,8 @@
  * disk on the server's thread before they are answered; the fronts and the decision module never
  * wait for it. The engine's thread only gathers figures: they become text here.
  */
-public final class Control implements ControlServer.Handler, AutoCloseable {
-    private static final System.Logger LOG = System.getLogger(Control.class.getName());
+public final class ControlService implements ControlServer.Handler, AutoCloseable {
+    private static final System.Logger LOG = System.getLogger(ControlService.class.getName());
 
     /** Drains hold however long the scheduler was away. */
     private static final Duration ANY_AGE = Duration.ofDays(36_500);
@@ -43,9 +43,9 @@
 
     private final Engine engine;
     private final Counters counters;
-    private final HandDrains drains;
-    private final Events events = new Events();
-    private final Pictures pictures;
+    private final ManualDrains drains;
+    private final EventLog events = new EventLog();
+    private final StatusCache pictures;
     private final Supplier<List<String>> classes;
     private final Supplier<List<Member>> members;
     private final Supplier<Map<String, String>> settings;
@@ -60,11 +60,11 @@
      * @param settings what the scheduler runs by now, by name
      * @throws IOException naming what is wrong and what to do
      */
-    public Control(
+    public ControlService(
             ControlConfig config,
             Engine engine,
             Counters counters,
-            HandDrains drains,
+            ManualDrains drains,
             Supplier<List<String>> classes,
             Supplier<List<Member>> members,
             Supplier<Map<String, String>> settings)
@@ -75,7 +75,7 @@
         this.classes = classes;
         this.members = members;
         this.settings = settings;
-        pictures = new Pictures(this::gather);
+        pictures = new StatusCache(this::gather);
         store = new SnapshotStore(config.directory(), "drains");
         recall();
         server = new ControlServer(config.socket(), this, MonotonicClock::now);
@@ -87,7 +87,7 @@
         for (SnapshotStore.Found found : store.read(Instant.now(), ANY_AGE)) {
             try {
                 if (found.fault() == SnapshotStore.Fault.NONE) {
-                    drains.restore(DrainFile.parse(found.body()));
+                    drains.restoreDrains(ManualDrainJson.parse(found.body()));
                     return;
                 }
                 LOG.log(Level.WARNING, "{0} is ignored: {1}", found.file(), found.fault());
@@ -101,23 +101,26 @@
         }
     }
 
-    private void gather(Consumer<Picture> seen) {
+    private void gather(Consumer<SchedulerStatus> seen) {
         engine.readStatus((nodes, load) -> server.post(() -> seen.accept(picture(nodes, load))));
     }
 
-    private Picture picture(List<NodeStatus> nodes, Scheduler.QueueView load) {
-        return new Picture(MonotonicClock.now(), nodes, classes.get(), load, drains.list());
+    private SchedulerStatus picture(List<NodeStatus> nodes, Scheduler.QueueView load) {
+        return new SchedulerStatus(MonotonicClock.now(), nodes, classes.get(), load, drains.list());
     }
 
     /** Tells when drains are done; asks the engine only while there are any that are not. */
     @Override
     public void tick() {
         if (drains.list().stream().anyMatch(drain -> !drain.done())) {
-            engine.readNodes(facts -> server.post(() -> drains.seen(facts).forEach(this::done)));
+            engine.readNodes(
+                    facts ->
+                            server.post(
+                                    () -> drains.markFinishedDrains(facts).forEach(this::done)));
         }
     }
 
-    private void done(HandDrain drain) {
+    private void done(ManualDrain drain) {
         keep();
         event("drain.done", Map.of("node", drain.node()));
     }
@@ -128,35 +131,41 @@
     }
 
     @Override
-    public void called(Call call, Consumer<byte[]> answer) {
-        switch (call.what()) {
+    public void handleRequest(ControlRequest call, Consumer<byte[]> answer) {
+        switch (call.action()) {
             case "view" ->
-                    pictures.look(
+                    pictures.read(
                             MonotonicClock.now(),
                             picture ->
                                     answer.accept(
-                                            Call.answer(call.id(), out -> write(out, picture))));
+                                            ControlRequest.answerLine(
+                                                    call.id(), out -> write(out, picture))));
             case "drain" -> answer.accept(ordered(call, drains.drain(order(call), Instant.now())));
             case "undrain" -> answer.accept(ordered(call, drains.undrain(order(call))));
-            case "settings" -> answer.accept(Call.answer(call.id(), this::writeSettings));
-            case "events" -> answer.accept(Call.answer(call.id(), out -> write(out, after(call))));
+            case "settings" ->
+                    answer.accept(ControlRequest.answerLine(call.id(), this::writeSettings));
+            case "events" ->
+                    answer.accept(
+                            ControlRequest.answerLine(call.id(), out -> write(out, after(call))));
             default ->
                     answer.accept(
-                            Call.refusal(
+                            ControlRequest.errorLine(
                                     call.id(),
-                                    "\"do\":\"" + call.what() + "\" is not known here",
+                                    "\"do\":\"" + call.action() + "\" is not known here",
                                     "use one of view, watch, drain, undrain, events, settings"));
         }
     }
 
     @Override
-    public void frame(Consumer<byte[]> line) {
-        pictures.look(
+    public void writeStatusFrame(Consumer<byte[]> line) {
+        pictures.read(
                 MonotonicClock.now(),
-                picture -> line.accept(Call.answer("watch", out -> write(out, picture))));
+                picture ->
+                        line.accept(
+                                ControlRequest.answerLine("watch", out -> write(out, picture))));
     }
 
-    private static Order order(Call call) {
+    private static Order order(ControlRequest call) {
         String command = call.field("command");
         return new Order(
                 command.isEmpty() ? "call " + UUID.randomUUID() : command,
@@ -166,7 +175,7 @@
                 call.field("force").equals("true"));
     }
 
-    private List<Event> after(Call call) {
+    private List<Event> after(ControlRequest call) {
         try {
             return events.after(Long.parseLong("0" + call.field("after")));
         } catch (NumberFormatException notANumber) {
@@ -174,21 +183,21 @@
         }
     }
 
-    private byte[] ordered(Call call, Result result) {
+    private byte[] ordered(ControlRequest call, Result result) {
         String names = String.join(", ", result.names());
         return switch (result.kind()) {
             case UNKNOWN_NODE ->
-                    Call.refusal(
+                    ControlRequest.errorLine(
                             call.id(),
                             "no node is called \"" + result.node() + "\"",
                             "see the nodes with: nodes; there are " + names);
             case AMBIGUOUS ->
-                    Call.refusal(
+                    ControlRequest.errorLine(
                             call.id(),
                             "\"" + result.node() + "\" fits several nodes",
                             "give more of its id; it may be " + names);
             case ONLY_NODE ->
-                    Call.refusal(
+                    ControlRequest.errorLine(
                             call.id(),
                             result.node()
                                     + " alone holds shard "
@@ -196,11 +205,11 @@
                                     + ": all its requests would be refused",
                             "drain it all the same with --force");
             default -> {
-                boolean acted = result.kind() == HandDrains.Kind.DONE;
+                boolean acted = result.kind() == ManualDrains.Kind.DONE;
                 boolean kept = !acted || keep();
                 if (acted) {
                     event(
-                            call.what() + ".ordered",
+                            call.action() + ".ordered",
                             Map.of(
                                     "node",
                                     result.node(),
@@ -211,7 +220,7 @@
                                     "durable",
                                     Boolean.toString(kept)));
                 }
-                yield Call.answer(
+                yield ControlRequest.answerLine(
                         call.id(),
                         out -> {
                             out.writeStringField("node", result.node());
@@ -225,7 +234,7 @@
     /** A drain that cannot be kept holds all the same: it protects now what would be lost. */
     private boolean keep() {
         try {
-            store.write(DrainFile.bytes(drains.list()), Instant.now());
+            store.write(ManualDrainJson.encode(drains.list()), Instant.now());
             return true;
         } catch (IOException failed) {
             LOG.log(Level.ERROR, "drains will not outlive a restart: {0}", failed.toString());
@@ -235,19 +244,19 @@
 
     // ---- what is shown
 
-    private void write(JsonGenerator out, Picture picture) throws IOException {
+    private void write(JsonGenerator out, SchedulerStatus picture) throws IOException {
         out.writeArrayFieldStart("nodes");
         for (NodeStatus fact : picture.nodes()) {
             write(out, fact, picture);
         }
         out.writeEndArray();
         out.writeArrayFieldStart("queues");
-        for (int i = 0; i < picture.load().queued().length; i++) {
+        for (int i = 0; i < picture.queues().queued().length; i++) {
             out.writeStartObject();
             out.writeStringField(
                     "class", i < picture.classes().size() ? picture.classes().get(i) : "?");
-            out.writeNumberField("held", picture.load().queued()[i]);
-            out.writeNumberField("oldest_ms", picture.load().oldestWaitUs()[i] / 1000);
+            out.writeNumberField("held", picture.queues().queued()[i]);
+            out.writeNumberField("oldest_ms", picture.queues().oldestWaitUs()[i] / 1000);
             out.writeEndObject();
         }
         out.writeEndArray();
@@ -255,7 +264,7 @@
         for (Reason reason : Reason.values()) {
             out.writeNumberField(
                     reason.name().toLowerCase(Locale.ROOT),
-                    picture.load().unserved()[reason.ordinal()]);
+                    picture.queues().unserved()[reason.ordinal()]);
         }
         out.writeEndObject();
         out.writeObjectFieldStart("counters");
@@ -272,15 +281,15 @@
         }
         out.writeEndArray();
         out.writeArrayFieldStart("drains");
-        for (HandDrain drain : picture.drains()) {
-            DrainFile.write(out, drain);
+        for (ManualDrain drain : picture.drains()) {
+            ManualDrainJson.write(out, drain);
         }
         out.writeEndArray();
         List<Event> all = events.after(0);
         write(out, all.subList(Math.max(0, all.size() - SHOWN_EVENTS), all.size()));
     }
 
-    private static void write(JsonGenerator out, NodeStatus fact, Picture picture)
+    private static void write(JsonGenerator out, NodeStatus fact, SchedulerStatus picture)
             throws IOException {
         out.writeStartObject();
         out.writeStringField("id", fact.node().id());
--- a/src/main/java/cypressglade/control/DrainFile.java
+++ b/src/main/java/cypressglade/control/ManualDrainJson.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
-import cypressglade.operate.HandDrain;
+import cypressglade.operate.ManualDrain;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.time.DateTimeException;
@@ -13,14 +13,14 @@
 import java.util.Map;
 
 /** Drains by hand as JSON: on the disk, and as they are shown. */
-final class DrainFile {
-    private DrainFile() {}
+final class ManualDrainJson {
+    private ManualDrainJson() {}
 
-    static byte[] bytes(List<HandDrain> drains) throws IOException {
+    static byte[] encode(List<ManualDrain> drains) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (JsonGenerator out = Call.JSON.createGenerator(bytes)) {
+        try (JsonGenerator out = ControlRequest.JSON.createGenerator(bytes)) {
             out.writeStartArray();
-            for (HandDrain drain : drains) {
+            for (ManualDrain drain : drains) {
                 write(out, drain);
             }
             out.writeEndArray();
@@ -28,27 +28,27 @@
         return bytes.toByteArray();
     }
 
-    static void write(JsonGenerator out, HandDrain drain) throws IOException {
+    static void write(JsonGenerator out, ManualDrain drain) throws IOException {
         out.writeStartObject();
         out.writeStringField("node", drain.node());
         out.writeStringField("started", drain.started().toString());
-        out.writeStringField("who", drain.who());
-        out.writeStringField("when", drain.when().toString());
-        out.writeStringField("why", drain.why());
+        out.writeStringField("who", drain.operatorName());
+        out.writeStringField("when", drain.orderedAt().toString());
+        out.writeStringField("why", drain.reason());
         out.writeBooleanField("done", drain.done());
         out.writeEndObject();
     }
 
-    static List<HandDrain> parse(byte[] body) throws IOException {
-        List<HandDrain> drains = new ArrayList<>();
-        try (JsonParser in = Call.JSON.createParser(body)) {
+    static List<ManualDrain> parse(byte[] body) throws IOException {
+        List<ManualDrain> drains = new ArrayList<>();
+        try (JsonParser in = ControlRequest.JSON.createParser(body)) {
             if (in.nextToken() != JsonToken.START_ARRAY) {
                 throw new IOException("no list of drains");
             }
             while (in.nextToken() == JsonToken.START_OBJECT) {
-                Map<String, String> fields = Call.members(in);
+                Map<String, String> fields = ControlRequest.readFields(in);
                 drains.add(
-                        new HandDrain(
+                        new ManualDrain(
                                 fields.getOrDefault("node", ""),
                                 Instant.parse(fields.get("started")),
                                 fields.getOrDefault("who", ""),
--- a/src/main/java/cypressglade/control/DoorServer.java
+++ b/src/main/java/cypressglade/control/OperatorPortServer.java
@@ -1,6 +1,6 @@
 package cypressglade.control;
 
-import cypressglade.operate.Door;
+import cypressglade.operate.OperatorProtocol;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
@@ -29,15 +29,15 @@
  * {@value #MOST_CALLERS} at once the one waiting longest makes way, so that slow callers keep no
  * one out.
  */
-public final class DoorServer implements AutoCloseable {
-    private static final System.Logger LOG = System.getLogger(DoorServer.class.getName());
+public final class OperatorPortServer implements AutoCloseable {
+    private static final System.Logger LOG = System.getLogger(OperatorPortServer.class.getName());
     private static final int MOST_CALLERS = 16;
     private static final Duration MOST_WAIT = Duration.ofSeconds(5);
     private static final long TICK_MS = 250;
     private static final String TOO_LONG =
-            "400 a call is one line of at most " + Door.MOST_LINE + " bytes";
+            "400 a call is one line of at most " + OperatorProtocol.MOST_LINE + " bytes";
 
-    private final Door door;
+    private final OperatorProtocol door;
     private final Runnable tick;
     private final Supplier<Instant> clock;
     private final ServerSocketChannel listening;
@@ -49,7 +49,7 @@
     /** One connection: what came of its line, and what goes back. */
     private static final class Caller {
         private final Instant came;
-        private final ByteBuffer line = ByteBuffer.allocate(Door.MOST_LINE);
+        private final ByteBuffer line = ByteBuffer.allocate(OperatorProtocol.MOST_LINE);
         private ByteBuffer answer;
 
         private Caller(Instant came) {
@@ -65,7 +65,11 @@
      * @throws IOException where the address is taken or cannot be had; the message names the
      *     address
      */
-    public DoorServer(InetSocketAddress address, Door door, Runnable tick, Supplier<Instant> clock)
+    public OperatorPortServer(
+            InetSocketAddress address,
+            OperatorProtocol door,
+            Runnable tick,
+            Supplier<Instant> clock)
             throws IOException {
         this.door = door;
         this.tick = tick;
--- a/src/main/java/cypressglade/operate/Events.java
+++ b/src/main/java/cypressglade/operate/EventLog.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** The latest of what happened, by number; the oldest give way. Safe for use by several threads. */
-public final class Events {
+public final class EventLog {
     private static final int MOST = 512;
 
     private final ArrayDeque<Event> kept = new ArrayDeque<>();
--- a/src/main/java/cypressglade/operate/HandDrain.java
+++ b/src/main/java/cypressglade/operate/ManualDrain.java
@@ -8,13 +8,18 @@
  * @param node its stable id
  * @param started the start of the run that is drained, as the list told it; a later run of the same
  *     node, and a node that takes its place under another id, are not drained
- * @param who the operator, as the control socket knows him
- * @param why in his words, may be empty
+ * @param operatorName the operator, as the control socket knows him
+ * @param reason in his words, may be empty
  * @param done whether nothing of this scheduler runs there any more
  */
-public record HandDrain(
-        String node, Instant started, String who, Instant when, String why, boolean done) {
-    HandDrain ended() {
-        return new HandDrain(node, started, who, when, why, true);
+public record ManualDrain(
+        String node,
+        Instant started,
+        String operatorName,
+        Instant orderedAt,
+        String reason,
+        boolean done) {
+    ManualDrain asDone() {
+        return new ManualDrain(node, started, operatorName, orderedAt, reason, true);
     }
 }
--- a/src/main/java/cypressglade/operate/HandDrains.java
+++ b/src/main/java/cypressglade/operate/ManualDrains.java
@@ -24,7 +24,7 @@
  * <p>The lock holds from the decision to the end of {@code out}, so that a list from a source and
  * an order of an operator cannot overtake each other; {@code out} must not block.
  */
-public final class HandDrains {
+public final class ManualDrains {
     private static final int MOST_COMMANDS = 256;
     private static final int MOST_NAMED = 5;
     private static final String NODE = "node ";
@@ -34,9 +34,9 @@
     private static final String UNDRAIN = "undrain";
 
     private final Consumer<NodeList> out;
-    private final Decided decided;
+    private final ManualDrains.DecisionListener decided;
     private final Map<String, Entry> told = new LinkedHashMap<>();
-    private final Map<String, HandDrain> drains = new LinkedHashMap<>();
+    private final Map<String, ManualDrain> drains = new LinkedHashMap<>();
 
     /**
      * Nodes out by the operators' door: held over restarts and lists that lack them, until taken
@@ -67,26 +67,27 @@
     /**
      * An order.
      *
-     * @param command a name that its giver made up: an order under a name that was carried out is
+     * @param commandId a name that its giver made up: an order under a name that was carried out is
      *     not again
      * @param node a node's id, or the beginning of just one
-     * @param force also where no other node holds the shard
+     * @param isForced also where no other node holds the shard
      */
-    public record Order(String command, String node, String who, String why, boolean force) {}
+    public record Order(
+            String commandId, String node, String operatorName, String reason, boolean isForced) {}
 
     /** Hears what was decided here, so that others can be told of it; must not block. */
-    public interface Decided {
+    public interface DecisionListener {
         /** A subject, as {@code node s-1}, and what was decided on it, as {@code exclude}. */
-        void decided(String subject, String word);
+        void onDecision(String subject, String word);
     }
 
     /** Drains over nothing yet; what holds goes to {@code out}. */
-    public HandDrains(Consumer<NodeList> out) {
+    public ManualDrains(Consumer<NodeList> out) {
         this(out, (subject, word) -> {});
     }
 
     /** The same, for one whose decisions others share. */
-    public HandDrains(Consumer<NodeList> out, Decided decided) {
+    public ManualDrains(Consumer<NodeList> out, ManualDrains.DecisionListener decided) {
         this.out = out;
         this.decided = decided;
     }
@@ -95,12 +96,12 @@
      * Takes drains of a former life, before any list; those of runs that are over end as lists tell
      * it.
      */
-    public synchronized void restore(Collection<HandDrain> kept) {
+    public synchronized void restoreDrains(Collection<ManualDrain> kept) {
         kept.forEach(drain -> drains.put(drain.node(), drain));
     }
 
     /** Takes what a source told, and hands on what holds. */
-    public synchronized void told(NodeList list) {
+    public synchronized void updateNodes(NodeList list) {
         version = list.version();
         Set<String> before = Set.copyOf(told.keySet());
         if (list.full()) {
@@ -167,7 +168,7 @@
                         return new Result(Kind.ALREADY, entry.id(), List.of());
                     }
                     boolean other = told.values().stream().anyMatch(one -> standsIn(one, entry));
-                    if (!other && entry.state() == State.READY && !order.force()) {
+                    if (!other && entry.state() == State.READY && !order.isForced()) {
                         return new Result(
                                 Kind.ONLY_NODE,
                                 entry.id(),
@@ -175,15 +176,15 @@
                     }
                     drains.put(
                             entry.id(),
-                            new HandDrain(
+                            new ManualDrain(
                                     entry.id(),
                                     entry.started(),
-                                    order.who(),
+                                    order.operatorName(),
                                     now,
-                                    order.why(),
+                                    order.reason(),
                                     false));
                     show(entry);
-                    decided.decided(DRAIN + entry.id(), DRAIN + entry.started().toEpochMilli());
+                    decided.onDecision(DRAIN + entry.id(), DRAIN + entry.started().toEpochMilli());
                     return named;
                 });
     }
@@ -204,19 +205,19 @@
                         return new Result(Kind.ALREADY, named.node(), List.of());
                     }
                     showIfTold(named.node());
-                    decided.decided(DRAIN + named.node(), UNDRAIN);
+                    decided.onDecision(DRAIN + named.node(), UNDRAIN);
                     return named;
                 });
     }
 
     private Result once(Order order, Supplier<Result> act) {
-        Result before = commands.get(order.command());
+        Result before = commands.get(order.commandId());
         if (before != null) {
             return new Result(Kind.ALREADY, before.node(), before.names());
         }
         Result result = act.get();
         if (result.kind() == Kind.DONE) {
-            commands.put(order.command(), result);
+            commands.put(order.commandId(), result);
             if (commands.size() > MOST_COMMANDS) {
                 commands.remove(commands.keySet().iterator().next());
             }
@@ -231,12 +232,14 @@
     }
 
     /**
-     * Takes what was decided at another member, in the words of {@link Decided}: it holds here from
-     * now on, whether the node is listed here yet or not. What it cannot read changes nothing.
+     * Takes what was decided at another member, in the words of {@link
+     * ManualDrains.DecisionListener}: it holds here from now on, whether the node is listed here
+     * yet or not. What it cannot read changes nothing.
      *
      * @return whether it is about nodes
      */
-    public synchronized boolean rule(String subject, String word, String by, Instant when) {
+    public synchronized boolean applyDecision(
+            String subject, String word, String by, Instant when) {
         boolean node = subject.startsWith(NODE);
         String id = subject.substring(subject.indexOf(' ') + 1);
         if (node && word.equals(EXCLUDE)) {
@@ -250,7 +253,7 @@
             if (told.containsKey(id) && told.get(id).started().isAfter(run)) {
                 return true; // that run of it is over
             }
-            drains.put(id, new HandDrain(id, run, by, when, "", false));
+            drains.put(id, new ManualDrain(id, run, by, when, "", false));
         } else {
             return false;
         }
@@ -322,7 +325,7 @@
         }
         bans.add(node);
         show(entry);
-        decided.decided(NODE + node, EXCLUDE);
+        decided.onDecision(NODE + node, EXCLUDE);
         return new Result(Kind.DONE, node, List.of());
     }
 
@@ -336,7 +339,7 @@
                     : unknown(node);
         }
         showIfTold(node);
-        decided.decided(NODE + node, INCLUDE);
+        decided.onDecision(NODE + node, INCLUDE);
         return new Result(Kind.DONE, node, List.of());
     }
 
@@ -349,23 +352,23 @@
      * Takes in the views: a drain is done when nothing is out or held there. Returns the newly
      * done.
      */
-    public synchronized List<HandDrain> seen(List<NodeStatus> facts) {
+    public synchronized List<ManualDrain> markFinishedDrains(List<NodeStatus> facts) {
         Set<String> busy =
                 facts.stream()
                         .filter(fact -> fact.view().inFlightUnits() > 0 || fact.view().queued() > 0)
                         .map(fact -> fact.node().id())
                         .collect(Collectors.toSet());
-        List<HandDrain> done =
+        List<ManualDrain> done =
                 drains.values().stream()
                         .filter(drain -> !drain.done() && !busy.contains(drain.node()))
-                        .map(HandDrain::ended)
+                        .map(ManualDrain::asDone)
                         .toList();
         done.forEach(drain -> drains.put(drain.node(), drain));
         return done;
     }
 
     /** What holds now, in the order in which it was ordered. */
-    public synchronized List<HandDrain> list() {
+    public synchronized List<ManualDrain> list() {
         return List.copyOf(drains.values());
     }
 }
--- a/src/main/java/cypressglade/operate/Door.java
+++ b/src/main/java/cypressglade/operate/OperatorProtocol.java
@@ -1,6 +1,6 @@
 package cypressglade.operate;
 
-import cypressglade.operate.HandDrains.Kind;
+import cypressglade.operate.ManualDrains.Kind;
 import java.util.Locale;
 import java.util.Optional;
 
@@ -12,7 +12,7 @@
  * <p>A call that cannot be read gets a no that names what was wrong and what to send instead, and
  * changes nothing.
  */
-public final class Door {
+public final class OperatorProtocol {
     /** Longer lines are no call of this door; the rest of them is not read. */
     public static final int MOST_LINE = 256;
 
@@ -25,10 +25,10 @@
          * Nothing new to a node, over its restarts, until {@link #include}; UNKNOWN_NODE if
          * unlisted.
          */
-        HandDrains.Result exclude(String node);
+        ManualDrains.Result exclude(String node);
 
         /** Takes a ban back; ALREADY where there was none. */
-        HandDrains.Result include(String node);
+        ManualDrains.Result include(String node);
 
         /** Sends clients away, without exiting. */
         void evacuate();
@@ -42,7 +42,7 @@
 
     private final Acts acts;
 
-    public Door(Acts acts) {
+    public OperatorProtocol(Acts acts) {
         this.acts = acts;
     }
 
@@ -90,7 +90,7 @@
                 + "': send readyz, exclude ID, include ID, evacuate, activate or fleet";
     }
 
-    private static String said(HandDrains.Result result, String done) {
+    private static String said(ManualDrains.Result result, String done) {
         return result.kind() == Kind.UNKNOWN_NODE || result.kind() == Kind.AMBIGUOUS
                 ? "400 no storage node "
                         + clip(result.node())
--- a/src/main/java/cypressglade/operate/Picture.java
+++ b/src/main/java/cypressglade/operate/SchedulerStatus.java
@@ -6,9 +6,9 @@
 import java.util.List;
 
 /** What a scheduler looked like at one time; never changes after. */
-public record Picture(
+public record SchedulerStatus(
         Instant at,
         List<NodeStatus> nodes,
         List<String> classes,
-        Scheduler.QueueView load,
-        List<HandDrain> drains) {}
+        Scheduler.QueueView queues,
+        List<ManualDrain> drains) {}
--- a/src/main/java/cypressglade/operate/Pictures.java
+++ b/src/main/java/cypressglade/operate/StatusCache.java
@@ -12,21 +12,21 @@
  * whoever asks within that time of the last gets the last, whoever asks while one is made waits for
  * it. Safe for several threads.
  */
-public final class Pictures {
+public final class StatusCache {
     private static final Duration GAP = Duration.ofMillis(250);
 
-    private final Consumer<Consumer<Picture>> source;
-    private final List<Consumer<Picture>> waiting = new ArrayList<>();
-    private Optional<Picture> last = Optional.empty();
+    private final Consumer<Consumer<SchedulerStatus>> source;
+    private final List<Consumer<SchedulerStatus>> waiting = new ArrayList<>();
+    private Optional<SchedulerStatus> last = Optional.empty();
 
     /** {@code source} makes one picture and hands it over, on whichever thread. */
-    public Pictures(Consumer<Consumer<Picture>> source) {
+    public StatusCache(Consumer<Consumer<SchedulerStatus>> source) {
         this.source = source;
     }
 
     /** Hands over a picture that is at most a quarter of a second old, at once or soon. */
-    public void look(Instant now, Consumer<Picture> seen) {
-        Optional<Picture> fresh;
+    public void read(Instant now, Consumer<SchedulerStatus> seen) {
+        Optional<SchedulerStatus> fresh;
         boolean first = false;
         synchronized (this) {
             fresh = last.filter(picture -> picture.at().plus(GAP).isAfter(now));
@@ -41,8 +41,8 @@
         }
     }
 
-    private void made(Picture picture) {
-        List<Consumer<Picture>> all;
+    private void made(SchedulerStatus picture) {
+        List<Consumer<SchedulerStatus>> all;
         synchronized (this) {
             last = Optional.of(picture);
             all = List.copyOf(waiting);
--- a/src/test/java/cypressglade/cli/DoorwayTest.java
+++ b/src/test/java/cypressglade/cli/DoorwayTest.java
@@ -5,7 +5,7 @@
 import cypressglade.core.NodeList;
 import cypressglade.core.NodeList.Entry;
 import cypressglade.core.Scheduler.State;
-import cypressglade.operate.HandDrains;
+import cypressglade.operate.ManualDrains;
 import cypressglade.standin.DoorCall;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -37,7 +37,7 @@
     /** Written on the door's thread, read by the test's. */
     private final List<Integer> besides = new CopyOnWriteArrayList<>();
 
-    private Doorway door(HandDrains drains) throws IOException {
+    private Doorway door(ManualDrains drains) throws IOException {
         return door(drains, besides);
     }
 
@@ -45,7 +45,7 @@
      * A door whose scheduler only notes what it is told; {@code processes} gets each count of
      * processes.
      */
-    private Doorway door(HandDrains drains, List<Integer> processes) throws IOException {
+    private Doorway door(ManualDrains drains, List<Integer> processes) throws IOException {
         Doorway door =
                 new Doorway(
                         ANY,
@@ -84,24 +84,25 @@
     @Test
     void aBanOutlivesTheProcessThroughTheSharedDirectory() throws IOException {
         Map<String, State> before = new HashMap<>();
-        HandDrains first =
-                new HandDrains(list -> list.entries().forEach(e -> before.put(e.id(), e.state())));
-        first.told(new NodeList(1, true, List.of(NODE)));
+        ManualDrains first =
+                new ManualDrains(
+                        list -> list.entries().forEach(e -> before.put(e.id(), e.state())));
+        first.updateNodes(new NodeList(1, true, List.of(NODE)));
         try (Doorway door = door(first)) {
             assertThat(call(door, "exclude s-unknown")).startsWith("400 ");
             assertThat(call(door, "exclude s-804c1214")).startsWith("200 ");
             assertThat(call(door, "exclude s-804c1214")).startsWith("200 ");
         }
         Map<String, State> after = new HashMap<>();
-        HandDrains upgraded =
-                new HandDrains(list -> list.entries().forEach(e -> after.put(e.id(), e.state())));
+        ManualDrains upgraded =
+                new ManualDrains(list -> list.entries().forEach(e -> after.put(e.id(), e.state())));
         try (Doorway door = door(upgraded)) {
-            upgraded.told(new NodeList(1, true, List.of(NODE)));
+            upgraded.updateNodes(new NodeList(1, true, List.of(NODE)));
             assertThat(after).containsEntry("s-804c1214", State.DRAINING);
             assertThat(call(door, "include s-804c1214")).startsWith("200 ");
             assertThat(after).containsEntry("s-804c1214", State.READY);
         }
-        HandDrains third = new HandDrains(list -> {});
+        ManualDrains third = new ManualDrains(list -> {});
         try (Doorway door = door(third)) {
             assertThat(third.bans()).as("the include is kept too").isEmpty();
             assertThat(call(door, "include s-804c1214"))
@@ -112,7 +113,7 @@
 
     @Test
     void callersThatSayNothingKeepNoOneWaiting() throws IOException {
-        HandDrains drains = new HandDrains(list -> {});
+        ManualDrains drains = new ManualDrains(list -> {});
         try (Doorway door = door(drains);
                 Socket silent = new Socket(door.address().getAddress(), door.address().getPort());
                 Socket half = new Socket(door.address().getAddress(), door.address().getPort())) {
@@ -127,10 +128,10 @@
 
     @Test
     void twoProcessesCountTwoUntilTheFirstIsGone() throws Exception {
-        Doorway first = door(new HandDrains(list -> {}));
+        Doorway first = door(new ManualDrains(list -> {}));
         assertThat(besides).as("alone").isEmpty();
         List<Integer> second = new CopyOnWriteArrayList<>();
-        try (Doorway next = door(new HandDrains(list -> {}), second)) {
+        try (Doorway next = door(new ManualDrains(list -> {}), second)) {
             assertThat(second).containsExactly(2);
             assertThat(call(next, "readyz"))
                     .as("the newcomer answers beside the first")
--- a/src/test/java/cypressglade/control/ConsoleMeasure.java
+++ b/src/test/java/cypressglade/control/ConsoleMeasure.java
@@ -128,7 +128,7 @@
                             () -> {
                                 try {
                                     while (true) {
-                                        client.next();
+                                        client.readLine();
                                     }
                                 } catch (IOException closed) {
                                     return;
--- a/src/test/java/cypressglade/control/ControlTest.java
+++ b/src/test/java/cypressglade/control/ControlServiceTest.java
@@ -36,7 +36,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The control socket of a whole scheduler. */
-class ControlTest {
+class ControlServiceTest {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final CountDownLatch answerWrite = new CountDownLatch(1);
@@ -282,7 +282,7 @@
         raw("{\"v\":1,\"do\":\"view\"}\n".repeat(3000));
         try (ControlClient reads = new ControlClient(config.socket())) {
             JsonNode first = JSON.readTree(reads.call("watch", Map.of()));
-            JsonNode second = JSON.readTree(reads.next());
+            JsonNode second = JSON.readTree(reads.readLine());
             assertThat(first.path("nodes").size() + second.path("nodes").size()).isEqualTo(4);
             assertThat(ask("GET")).isEqualTo(200);
         }
@@ -338,7 +338,8 @@
                         own.socket(),
                         new ControlServer.Handler() {
                             @Override
-                            public void called(Call call, Consumer<byte[]> answer) {}
+                            public void handleRequest(
+                                    ControlRequest call, Consumer<byte[]> answer) {}
 
                             @Override
                             public void tick() {
@@ -346,7 +347,7 @@
                             }
 
                             @Override
-                            public void frame(Consumer<byte[]> line) {}
+                            public void writeStatusFrame(Consumer<byte[]> line) {}
                         },
                         () -> now[0])) {
             server.start();
--- a/src/test/java/cypressglade/operate/HandDrainsTest.java
+++ b/src/test/java/cypressglade/operate/ManualDrainsTest.java
@@ -8,8 +8,8 @@
 import cypressglade.core.NodeStatus;
 import cypressglade.core.Scheduler.NodeView;
 import cypressglade.core.Scheduler.State;
-import cypressglade.operate.HandDrains.Kind;
-import cypressglade.operate.HandDrains.Order;
+import cypressglade.operate.ManualDrains.Kind;
+import cypressglade.operate.ManualDrains.Order;
 import java.net.InetSocketAddress;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -24,7 +24,7 @@
 /**
  * Drains by hand: they act once, hold against the sources, and end with the run that they were for.
  */
-class HandDrainsTest {
+class ManualDrainsTest {
     private static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
     private static final InetSocketAddress AT = new InetSocketAddress("127.0.0.1", 1);
 
@@ -33,8 +33,8 @@
 
     private int handedOn;
     private int orders;
-    private final HandDrains drains =
-            new HandDrains(
+    private final ManualDrains drains =
+            new ManualDrains(
                     list -> {
                         handedOn++;
                         if (list.full()) {
@@ -49,7 +49,7 @@
     }
 
     private void tell(boolean full, Entry... entries) {
-        drains.told(new NodeList(1, full, List.of(entries)));
+        drains.updateNodes(new NodeList(1, full, List.of(entries)));
     }
 
     private void start() {
@@ -93,7 +93,7 @@
     })
     void nodesAreNamedByIdOrByABeginningThatFitsOne(String name, Kind kind, String node) {
         start();
-        HandDrains.Result result = drains.drain(order(name, true), NOW);
+        ManualDrains.Result result = drains.drain(order(name, true), NOW);
         assertThat(result.kind()).isEqualTo(kind);
         assertThat(result.node()).isEqualTo(node);
         assertThat(result.names()).hasSize(kind == Kind.DONE ? 0 : 3);
@@ -103,7 +103,7 @@
     void onlyNodeOfAShardAsksForForce() {
         start();
         assertThat(drains.drain(order("s-30", false), NOW))
-                .isEqualTo(new HandDrains.Result(Kind.ONLY_NODE, "s-30", List.of("1")));
+                .isEqualTo(new ManualDrains.Result(Kind.ONLY_NODE, "s-30", List.of("1")));
         assertThat(seen).containsEntry("s-30", State.READY);
         assertThat(drain("s-1")).isEqualTo(Kind.DONE);
         assertThat(drain("s-2")).isEqualTo(Kind.ONLY_NODE); // the other one is drained already
@@ -137,11 +137,11 @@
 
     @Test
     void drainsOutliveARestartAndShowWhatTheSourcesSayOnceTakenBack() {
-        drains.restore(
+        drains.restoreDrains(
                 List.of(
-                        new HandDrain("s-1", Instant.ofEpochSecond(5), "ann", NOW, "disk", true),
-                        new HandDrain("s-8", Instant.ofEpochSecond(5), "ann", NOW, "", true),
-                        new HandDrain("s-9", Instant.ofEpochSecond(5), "ann", NOW, "", true)));
+                        new ManualDrain("s-1", Instant.ofEpochSecond(5), "ann", NOW, "disk", true),
+                        new ManualDrain("s-8", Instant.ofEpochSecond(5), "ann", NOW, "", true),
+                        new ManualDrain("s-9", Instant.ofEpochSecond(5), "ann", NOW, "", true)));
         start(); // a list that does not know s-8 and s-9 yet
         assertThat(seen).containsEntry("s-1", State.DRAINING);
         assertThat(drains.list()).hasSize(3);
@@ -149,7 +149,7 @@
         tell(false, entry("s-8", 1, State.READY, 5));
         assertThat(seen).containsEntry("s-8", State.DRAINING);
         tell(false, entry("s-8", 1, State.GONE, 5));
-        assertThat(drains.list()).extracting(HandDrain::node).containsExactly("s-1");
+        assertThat(drains.list()).extracting(ManualDrain::node).containsExactly("s-1");
         assertThat(drain("s-1")).isEqualTo(Kind.ALREADY);
         tell(false, entry("s-1", 0, State.DRAINING, 5));
         drains.undrain(order("s-1", false));
@@ -169,13 +169,14 @@
     void drainIsDoneWhenNothingRunsThereAnyMoreAndThatIsToldOnce() {
         start();
         drain("s-1");
-        assertThat(drains.seen(List.of(fact("s-1", 2, 0), fact("s-2", 0, 0)))).isEmpty();
-        assertThat(drains.seen(List.of(fact("s-1", 0, 1)))).isEmpty();
-        assertThat(drains.seen(List.of(fact("s-1", 0, 0))))
-                .extracting(HandDrain::node)
+        assertThat(drains.markFinishedDrains(List.of(fact("s-1", 2, 0), fact("s-2", 0, 0))))
+                .isEmpty();
+        assertThat(drains.markFinishedDrains(List.of(fact("s-1", 0, 1)))).isEmpty();
+        assertThat(drains.markFinishedDrains(List.of(fact("s-1", 0, 0))))
+                .extracting(ManualDrain::node)
                 .containsExactly("s-1");
-        assertThat(drains.seen(List.of())).isEmpty();
-        assertThat(drains.list()).allMatch(HandDrain::done);
+        assertThat(drains.markFinishedDrains(List.of())).isEmpty();
+        assertThat(drains.list()).allMatch(ManualDrain::done);
     }
 
     /**
@@ -202,7 +203,7 @@
                 }
             }
             List<String> held =
-                    new ArrayList<>(drains.list().stream().map(HandDrain::node).toList());
+                    new ArrayList<>(drains.list().stream().map(ManualDrain::node).toList());
             assertThat(seen.keySet()).containsExactlyInAnyOrderElementsOf(told.keySet());
             told.forEach(
                     (name, entry) ->
@@ -216,10 +217,10 @@
     @Test
     void decisionsOfOneHoldAtAnother() {
         List<String[]> told = new ArrayList<>();
-        HandDrains there =
-                new HandDrains(
+        ManualDrains there =
+                new ManualDrains(
                         list -> {}, (subject, word) -> told.add(new String[] {subject, word}));
-        there.told(
+        there.updateNodes(
                 new NodeList(
                         1,
                         true,
@@ -229,7 +230,10 @@
         assertThat(there.exclude("s-9").kind()).isEqualTo(Kind.UNKNOWN_NODE);
         assertThat(told)
                 .hasSize(2)
-                .allSatisfy(one -> assertThat(drains.rule(one[0], one[1], "m-1", NOW)).isTrue());
+                .allSatisfy(
+                        one ->
+                                assertThat(drains.applyDecision(one[0], one[1], "m-1", NOW))
+                                        .isTrue());
         start();
         assertThat(seen).containsEntry("s-1", State.DRAINING).containsEntry("s-2", State.DRAINING);
         told.clear();
@@ -237,16 +241,19 @@
         there.undrain(order("s-2", false));
         assertThat(told)
                 .hasSize(2)
-                .allSatisfy(one -> assertThat(drains.rule(one[0], one[1], "m-1", NOW)).isTrue());
+                .allSatisfy(
+                        one ->
+                                assertThat(drains.applyDecision(one[0], one[1], "m-1", NOW))
+                                        .isTrue());
         assertThat(seen).containsEntry("s-1", State.READY).containsEntry("s-2", State.READY);
     }
 
     @Test
     void aRuledDrainOfARunThatIsOverAndWhatIsNotAboutNodesChangeNothing() {
         start();
-        assertThat(drains.rule("drain s-1", "drain 4000", "m-1", NOW)).isTrue();
-        assertThat(drains.rule("member m-1", "evacuate", "m-1", NOW)).isFalse();
-        assertThat(drains.rule("drain s-1", "drain x", "m-1", NOW)).isFalse();
+        assertThat(drains.applyDecision("drain s-1", "drain 4000", "m-1", NOW)).isTrue();
+        assertThat(drains.applyDecision("member m-1", "evacuate", "m-1", NOW)).isFalse();
+        assertThat(drains.applyDecision("drain s-1", "drain x", "m-1", NOW)).isFalse();
         assertThat(seen).containsEntry("s-1", State.READY);
     }
 }
--- a/src/test/java/cypressglade/operate/DoorTest.java
+++ b/src/test/java/cypressglade/operate/OperatorProtocolTest.java
@@ -17,12 +17,12 @@
  * The operators' door: bans by exact id that hold over restarts and lists, and calls that are read
  * strictly.
  */
-class DoorTest {
+class OperatorProtocolTest {
     private static final InetSocketAddress AT = new InetSocketAddress("127.0.0.1", 1);
 
     private final Map<String, State> seen = new LinkedHashMap<>();
-    private final HandDrains drains =
-            new HandDrains(
+    private final ManualDrains drains =
+            new ManualDrains(
                     list -> {
                         if (list.full()) {
                             seen.clear();
@@ -34,21 +34,21 @@
     private int evacuations;
     private int activations;
     private Optional<String> fleet = Optional.empty();
-    private final Door door =
-            new Door(
-                    new Door.Acts() {
+    private final OperatorProtocol door =
+            new OperatorProtocol(
+                    new OperatorProtocol.Acts() {
                         @Override
                         public boolean takesClients() {
                             return started;
                         }
 
                         @Override
-                        public HandDrains.Result exclude(String node) {
+                        public ManualDrains.Result exclude(String node) {
                             return drains.exclude(node);
                         }
 
                         @Override
-                        public HandDrains.Result include(String node) {
+                        public ManualDrains.Result include(String node) {
                             return drains.include(node);
                         }
 
@@ -73,7 +73,7 @@
     }
 
     private void tell(boolean full, Entry... entries) {
-        drains.told(new NodeList(1, full, List.of(entries)));
+        drains.updateNodes(new NodeList(1, full, List.of(entries)));
     }
 
     @Test
