--- a/src/main/java/cypressglade/cli/Doorway.java
+++ b/src/main/java/cypressglade/cli/Doorway.java
@@ -29,7 +29,7 @@
  * upgrade shares ({@code $TMPDIR}, {@code /tmp} without it), and the evacuation of clients. The
  * bans are written to the disk before the call is answered, on the door's thread.
  */
-final class Doorway implements OperatorProtocol.Acts, AutoCloseable {
+final class Doorway implements OperatorProtocol.Actions, AutoCloseable {
     private static final System.Logger LOG = System.getLogger(Doorway.class.getName());
     private static final int MOST_HOLDER = 128;
 
@@ -47,7 +47,7 @@
         /** Sends clients away, or takes them again. */
         void evacuate(boolean away);
 
-        /** What it sees of the fleet (see {@link OperatorProtocol.Acts#fleet}). */
+        /** What it sees of the fleet (see {@link OperatorProtocol.Actions#fleet}). */
         Optional<String> fleet();
 
         /** So many processes serve as this instance now (see {@link Handover}). */
--- a/src/main/java/cypressglade/operate/OperatorProtocol.java
+++ b/src/main/java/cypressglade/operate/OperatorProtocol.java
@@ -17,7 +17,7 @@
     public static final int MOST_LINE = 256;
 
     /** What the calls act on; each returns once what it did holds. */
-    public interface Acts {
+    public interface Actions {
         /** Whether this process takes clients. */
         boolean takesClients();
 
@@ -40,9 +40,9 @@
         Optional<String> fleet();
     }
 
-    private final Acts acts;
+    private final OperatorProtocol.Actions acts;
 
-    public OperatorProtocol(Acts acts) {
+    public OperatorProtocol(OperatorProtocol.Actions acts) {
         this.acts = acts;
     }
 
--- a/src/test/java/cypressglade/operate/OperatorProtocolTest.java
+++ b/src/test/java/cypressglade/operate/OperatorProtocolTest.java
@@ -36,7 +36,7 @@
     private Optional<String> fleet = Optional.empty();
     private final OperatorProtocol door =
             new OperatorProtocol(
-                    new OperatorProtocol.Acts() {
+                    new OperatorProtocol.Actions() {
                         @Override
                         public boolean takesClients() {
                             return started;
