--- a/src/main/java/cypressglade/control/ControlClient.java
+++ b/src/main/java/cypressglade/control/ControlClient.java
@@ -12,38 +12,48 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** The operator's side of the control socket: a call, a line. Blocks; one thread at a time. */
+/**
+ * The client of the control socket: one request line, one answer line. Blocking; for use by one
+ * thread at a time.
+ */
 public final class ControlClient implements AutoCloseable {
     private final SocketChannel channel;
     private final BufferedReader lines;
 
     /**
-     * Connects.
+     * Connects to a scheduler's control socket.
      *
-     * @throws IOException where nobody listens there, saying what to do
+     * @throws IOException if no process listens there; the message says what to do
      */
     public ControlClient(Path socket) throws IOException {
         try {
             channel = SocketChannel.open(UnixDomainSocketAddress.of(socket));
-        } catch (IOException nobody) {
+        } catch (IOException refused) {
             throw new IOException(
                     socket
                             + ": no scheduler answers there ("
-                            + nobody.getMessage()
+                            + refused.getMessage()
                             + "); start one with the control socket on, "
                             + "see docs/operating-console.md",
-                    nobody);
+                    refused);
         }
         lines = new BufferedReader(Channels.newReader(channel, StandardCharsets.UTF_8));
     }
 
-    /** Asks, and waits for the line of the answer. */
-    public String call(String what, Map<String, String> fields) throws IOException {
+    /**
+     * Sends a request and waits for its answer.
+     *
+     * @param action the value of {@code do}, such as {@code view}
+     * @param fields the arguments of the action
+     * @return the answer, one JSON object
+     * @throws IOException if the connection fails or ends
+     */
+    public String call(String action, Map<String, String> fields) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = ControlRequest.JSON.createGenerator(bytes)) {
             out.writeStartObject();
             out.writeNumberField("v", ControlRequest.VERSION);
-            out.writeStringField("do", what);
+            out.writeStringField("do", action);
             for (Map.Entry<String, String> field : fields.entrySet()) {
                 out.writeStringField(field.getKey(), field.getValue());
             }
@@ -57,7 +67,11 @@
         return readLine();
     }
 
-    /** The next line, such as a frame after {@code watch}. */
+    /**
+     * Waits for the next line, such as a status after {@code watch}.
+     *
+     * @throws IOException if the connection fails or ends
+     */
     public String readLine() throws IOException {
         String line = lines.readLine();
         if (line == null) {
--- a/src/main/java/cypressglade/control/ControlConfig.java
+++ b/src/main/java/cypressglade/control/ControlConfig.java
@@ -3,12 +3,13 @@
 import java.nio.file.Path;
 
 /**
- * What {@code deploy/console.json} says.
+ * The settings of the control socket, from a file such as {@code deploy/console.json}.
  *
- * @param directory the operator's own, mode 0700: the socket is there, and what outlives a restart
+ * @param directory holds the socket and the manual drains that outlast a restart; owned by the
+ *     operator, mode 0700
  */
 public record ControlConfig(Path directory) {
-    /** Where the socket is. */
+    /** The path of the socket. */
     public Path socket() {
         return directory.resolve("control.sock");
     }
--- a/src/main/java/cypressglade/control/ControlServer.java
+++ b/src/main/java/cypressglade/control/ControlServer.java
@@ -25,71 +25,72 @@
 import java.util.function.Supplier;
 
 /**
- * The socket and its clients, on a thread of its own: XNIO has no Unix-domain sockets, and nothing
- * that a client does may cost the I/O thread. A client has at most one line coming in and a bounded
- * number of bytes going out; one that stops reading loses frames, and with an answer that does not
- * fit its connection.
+ * Serves the control socket with a thread of its own, because XNIO has no Unix-domain sockets and a
+ * client must not be able to delay the I/O thread. Input and output buffers are bounded for each
+ * client: a client that stops reading misses status lines, and loses its connection with the first
+ * answer that exceeds its output buffer.
  */
 public final class ControlServer implements AutoCloseable {
     private static final System.Logger LOG = System.getLogger(ControlServer.class.getName());
-    private static final int MOST_CLIENTS = 8;
-    private static final int MOST_LINE = 16 * 1024;
-    private static final int MOST_UNSENT = 512 * 1024;
-    private static final Duration MOST_HALF_LINE = Duration.ofSeconds(5);
-    private static final Duration FRAME_GAP = Duration.ofMillis(250);
-    private static final Set<PosixFilePermission> OWNER =
+    private static final int MAX_CLIENTS = 8;
+    private static final int MAX_LINE_BYTES = 16 * 1024;
+    private static final int MAX_UNSENT_BYTES = 512 * 1024;
+    private static final Duration MAX_LINE_DURATION = Duration.ofSeconds(5);
+    private static final Duration STATUS_INTERVAL = Duration.ofMillis(250);
+    private static final Set<PosixFilePermission> OWNER_ONLY =
             PosixFilePermissions.fromString("rw-------");
 
     private final Path path;
     private final Handler handler;
     private final Supplier<Instant> clock;
-    private final ServerSocketChannel listening;
+    private final ServerSocketChannel listener;
     private final Selector selector;
     private final Set<Client> clients = new HashSet<>();
     private final ConcurrentLinkedQueue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final Thread thread = new Thread(this::run, "control");
-    private Instant nextFrame;
+    private Instant nextStatusAt;
     private volatile boolean closing;
 
-    /** Answers calls, on the server's thread; the answer may come later, from any thread. */
+    /** Handles requests on the server's thread; answers may come later, from any thread. */
     interface Handler {
+        /** Handles one request and passes one answer line to {@code answer}. */
         void handleRequest(ControlRequest call, Consumer<byte[]> answer);
 
-        /** Called some four times a second, on the server's thread. */
+        /** Called on the server's thread after each wait of at most 250 ms. */
         void tick();
 
-        /** One line for all who watch; may come later, from any thread. */
+        /** Writes one status line for all watching clients; may do so later, from any thread. */
         void writeStatusFrame(Consumer<byte[]> line);
     }
 
     /**
-     * Takes the socket over from one that died.
+     * Binds the socket, and replaces the socket file of a process that has died.
      *
-     * @throws IOException where another scheduler has it, or the directory is not the operator's
-     *     own
+     * @throws IOException if another scheduler serves the socket, or if other users may enter its
+     *     directory
      */
     ControlServer(Path path, Handler handler, Supplier<Instant> clock) throws IOException {
         this.path = path;
         this.handler = handler;
         this.clock = clock;
-        nextFrame = clock.get();
-        own(path.getParent());
-        takeOver();
-        listening = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
-        listening.bind(UnixDomainSocketAddress.of(path), MOST_CLIENTS);
-        Files.setPosixFilePermissions(path, OWNER);
+        nextStatusAt = clock.get();
+        checkDirectoryIsPrivate(path.getParent());
+        removeStaleSocket();
+        listener = ServerSocketChannel.open(StandardProtocolFamily.UNIX);
+        listener.bind(UnixDomainSocketAddress.of(path), MAX_CLIENTS);
+        Files.setPosixFilePermissions(path, OWNER_ONLY);
         selector = Selector.open();
-        listening.configureBlocking(false);
-        listening.register(selector, SelectionKey.OP_ACCEPT);
+        listener.configureBlocking(false);
+        listener.register(selector, SelectionKey.OP_ACCEPT);
         thread.setDaemon(true);
     }
 
-    /** Begins to serve. */
+    /** Starts the server's thread. */
     void start() {
         thread.start();
     }
 
-    private static void own(Path directory) throws IOException {
+    private static void checkDirectoryIsPrivate(Path directory) throws IOException {
         Set<PosixFilePermission> open = new HashSet<>(Files.getPosixFilePermissions(directory));
         open.removeAll(PosixFilePermissions.fromString("rwx------"));
         if (!open.isEmpty()) {
@@ -98,7 +99,7 @@
         }
     }
 
-    private void takeOver() throws IOException {
+    private void removeStaleSocket() throws IOException {
         if (!Files.exists(path, LinkOption.NOFOLLOW_LINKS)) {
             return;
         }
@@ -107,18 +108,18 @@
             throw new IOException(
                     path + ": belongs to another user than its directory; remove it by hand");
         }
-        if (answers()) {
+        if (isSocketInUse()) {
             throw new IOException(
                     path + ": a scheduler that runs has it; stop it, or name another directory");
         }
-        Files.delete(path); // who listened there is gone
+        Files.delete(path); // no process listens on it any more
     }
 
-    private boolean answers() {
+    private boolean isSocketInUse() {
         try {
             SocketChannel.open(UnixDomainSocketAddress.of(path)).close();
             return true;
-        } catch (IOException nobody) {
+        } catch (IOException refused) {
             return false;
         }
     }
@@ -132,33 +133,33 @@
     private void run() {
         try {
             while (!closing) {
-                boolean watched = clients.stream().anyMatch(client -> client.watching);
-                selector.select(FRAME_GAP.toMillis());
+                boolean hasWatchers = clients.stream().anyMatch(client -> client.isWatching);
+                selector.select(STATUS_INTERVAL.toMillis());
                 for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
                     task.run();
                 }
                 for (SelectionKey key : List.copyOf(selector.selectedKeys())) {
-                    ready(key);
+                    handleReady(key);
                 }
                 selector.selectedKeys().clear();
                 Instant now = clock.get();
                 List.copyOf(clients).stream()
-                        .filter(client -> client.stuck(now))
+                        .filter(client -> client.isLineOverdue(now))
                         .forEach(this::drop);
                 handler.tick();
-                if (watched && !now.isBefore(nextFrame)) {
-                    nextFrame = now.plus(FRAME_GAP);
-                    handler.writeStatusFrame(line -> post(() -> show(line)));
+                if (hasWatchers && !now.isBefore(nextStatusAt)) {
+                    nextStatusAt = now.plus(STATUS_INTERVAL);
+                    handler.writeStatusFrame(line -> post(() -> sendToWatchers(line)));
                 }
             }
         } catch (IOException broken) {
-            LOG.log(Level.ERROR, "control socket", broken);
+            LOG.log(Level.ERROR, "control socket: the server failed", broken);
         } finally {
-            giveBack();
+            releaseSocket();
         }
     }
 
-    private void ready(SelectionKey key) {
+    private void handleReady(SelectionKey key) {
         if (!key.isValid()) {
             return;
         }
@@ -181,54 +182,60 @@
 
     private void accept() {
         try {
-            SocketChannel channel = listening.accept();
+            SocketChannel channel = listener.accept();
             if (channel == null) {
                 return;
             }
             channel.configureBlocking(false);
-            if (clients.size() >= MOST_CLIENTS) {
+            if (clients.size() >= MAX_CLIENTS) {
                 channel.write(
                         ByteBuffer.wrap(
                                 ControlRequest.errorLine(
                                         "",
-                                        "there are " + MOST_CLIENTS + " clients already",
+                                        "there are " + MAX_CLIENTS + " clients already",
                                         "close a console and try again")));
                 channel.close();
                 return;
             }
             clients.add(new Client(channel));
         } catch (IOException failed) {
-            LOG.log(Level.WARNING, "control socket: a client was lost: {0}", failed.getMessage());
+            LOG.log(
+                    Level.WARNING,
+                    "control socket: accepting a client failed: {0}",
+                    failed.getMessage());
         }
     }
 
-    private void show(byte[] line) {
+    private void sendToWatchers(byte[] line) {
         for (Client client : List.copyOf(clients)) {
-            if (client.watching
-                    && client.output.isEmpty()) { // or it has not read the last: this one is lost
+            // A client that has not read the last status line misses this one.
+            if (client.isWatching && client.output.isEmpty()) {
                 client.send(line);
             }
         }
     }
 
-    /** The one place where a client's connection is given back. */
+    /** Closes a client's connection; the only place that does so. */
     private void drop(Client client) {
         clients.remove(client);
         try {
             client.channel.close();
         } catch (IOException closed) {
-            LOG.log(Level.DEBUG, "closing a client", closed);
+            LOG.log(Level.DEBUG, "control socket: closing a client failed", closed);
         }
     }
 
-    private void giveBack() {
+    private void releaseSocket() {
         List.copyOf(clients).forEach(this::drop);
         try {
-            listening.close();
+            listener.close();
             selector.close();
             Files.deleteIfExists(path);
         } catch (IOException failed) {
-            LOG.log(Level.WARNING, "control socket: not given back: {0}", failed.getMessage());
+            LOG.log(
+                    Level.WARNING,
+                    "control socket: releasing the socket failed: {0}",
+                    failed.getMessage());
         }
     }
 
@@ -237,7 +244,7 @@
         closing = true;
         selector.wakeup();
         try {
-            thread.join(MOST_HALF_LINE.toMillis());
+            thread.join(MAX_LINE_DURATION.toMillis());
         } catch (InterruptedException cut) {
             Thread.currentThread().interrupt();
         }
@@ -246,78 +253,78 @@
     private final class Client {
         private final SocketChannel channel;
         private final SelectionKey key;
-        private final ByteBuffer input = ByteBuffer.allocate(MOST_LINE);
+        private final ByteBuffer input = ByteBuffer.allocate(MAX_LINE_BYTES);
         private final ArrayDeque<ByteBuffer> output = new ArrayDeque<>();
-        private int unsent;
-        private boolean watching;
-        private boolean ending;
-        private Instant halfSince;
+        private int unsentBytes;
+        private boolean isWatching;
+        private boolean isClosingAfterOutput;
+        private Instant lineStartedAt;
 
         Client(SocketChannel channel) throws IOException {
             this.channel = channel;
             key = channel.register(selector, SelectionKey.OP_READ, this);
         }
 
-        /** Whether half a line has been coming in for too long. */
-        boolean stuck(Instant now) {
-            return halfSince != null && halfSince.plus(MOST_HALF_LINE).isBefore(now);
+        /** Whether a line has been incomplete for too long. */
+        boolean isLineOverdue(Instant now) {
+            return lineStartedAt != null && lineStartedAt.plus(MAX_LINE_DURATION).isBefore(now);
         }
 
         void read() throws IOException {
             if (channel.read(input) < 0) {
-                throw new IOException("ended");
+                throw new IOException("the client ended the connection");
             }
-            int from = 0;
-            for (int i = 0; i < input.position() && !ending; i++) {
+            int lineStart = 0;
+            for (int i = 0; i < input.position() && !isClosingAfterOutput; i++) {
                 if (input.get(i) == '\n') {
-                    byte[] line = new byte[i - from];
-                    input.get(from, line);
-                    from = i + 1;
-                    halfSince = null;
-                    take(line);
+                    byte[] line = new byte[i - lineStart];
+                    input.get(lineStart, line);
+                    lineStart = i + 1;
+                    lineStartedAt = null;
+                    handleLine(line);
                 }
             }
-            input.flip().position(from);
+            input.flip().position(lineStart);
             input.compact();
             if (!input.hasRemaining()) {
-                end("a line is over " + MOST_LINE + " bytes");
-            } else if (input.position() > 0 && halfSince == null) {
-                halfSince = clock.get();
+                refuseAndClose("a line is over " + MAX_LINE_BYTES + " bytes");
+            } else if (input.position() > 0 && lineStartedAt == null) {
+                lineStartedAt = clock.get();
             }
         }
 
-        private void take(byte[] line) {
+        private void handleLine(byte[] line) {
             try {
                 ControlRequest call = ControlRequest.parse(line);
                 if (call.action().equals("watch")) {
-                    watching = true;
-                    nextFrame = clock.get();
+                    isWatching = true;
+                    nextStatusAt = clock.get();
                     selector.wakeup();
                 } else {
                     handler.handleRequest(call, answer -> post(() -> send(answer)));
                 }
             } catch (IOException bad) {
-                end(bad.getMessage().lines().findFirst().orElse("unreadable"));
+                refuseAndClose(bad.getMessage().lines().findFirst().orElse("unreadable"));
             }
         }
 
-        private void end(String why) {
-            ending = true;
+        private void refuseAndClose(String error) {
+            isClosingAfterOutput = true;
             send(
                     ControlRequest.errorLine(
-                            "", why, "send one JSON object a line, with \"v\":1 and \"do\""));
+                            "", error, "send one JSON object a line, with \"v\":1 and \"do\""));
         }
 
         void send(byte[] line) {
             if (!clients.contains(this)) {
                 return;
             }
-            if (unsent + line.length > MOST_UNSENT) {
+            if (unsentBytes + line.length > MAX_UNSENT_BYTES) {
                 drop(this);
                 return;
             }
             output.add(ByteBuffer.wrap(line));
-            unsent += line.length;
+            unsentBytes += line.length;
             try {
                 write();
             } catch (IOException gone) {
@@ -327,18 +334,18 @@
 
         void write() throws IOException {
             while (!output.isEmpty()) {
-                unsent -= channel.write(output.peek());
+                unsentBytes -= channel.write(output.peek());
                 if (output.peek().hasRemaining()) {
                     key.interestOps(
-                            ending
+                            isClosingAfterOutput
                                     ? SelectionKey.OP_WRITE
                                     : SelectionKey.OP_READ | SelectionKey.OP_WRITE);
                     return;
                 }
                 output.poll();
             }
-            if (ending) {
-                throw new IOException("told what was wrong");
+            if (isClosingAfterOutput) {
+                throw new IOException("closed after an error answer");
             }
             key.interestOps(SelectionKey.OP_READ);
         }
--- a/src/main/java/cypressglade/control/ControlService.java
+++ b/src/main/java/cypressglade/control/ControlService.java
@@ -29,23 +29,23 @@
 import java.util.function.Supplier;
 
 /**
- * What may be asked and ordered over the control socket. Orders are carried out and written to the
- * disk on the server's thread before they are answered; the fronts and the decision module never
- * wait for it. The engine's thread only gathers figures: they become text here.
+ * Executes the requests of the control socket. Orders are executed and written to the disk on the
+ * server's thread before they are answered; the fronts and the scheduling policy never wait for
+ * them. The engine's thread only collects the status, which is formatted here.
  */
 public final class ControlService implements ControlServer.Handler, AutoCloseable {
     private static final System.Logger LOG = System.getLogger(ControlService.class.getName());
 
-    /** Drains hold however long the scheduler was away. */
-    private static final Duration ANY_AGE = Duration.ofDays(36_500);
+    /** Drains are restored however long the scheduler was down. */
+    private static final Duration MAX_DRAIN_AGE = Duration.ofDays(36_500);
 
-    private static final int SHOWN_EVENTS = 8;
+    private static final int MAX_EVENTS_IN_STATUS = 8;
 
     private final Engine engine;
     private final Counters counters;
     private final ManualDrains drains;
     private final EventLog events = new EventLog();
-    private final StatusCache pictures;
+    private final StatusCache statusCache;
     private final Supplier<List<String>> classes;
     private final Supplier<List<Member>> members;
     private final Supplier<Map<String, String>> settings;
@@ -53,12 +53,16 @@
     private final ControlServer server;
 
     /**
-     * Opens the socket.
+     * Restores the stored drains, opens the socket and starts to serve.
      *
-     * @param classes the names of the request classes, as the settings have them now
-     * @param members the instances that this one sees, itself first; empty where it talks to none
-     * @param settings what the scheduler runs by now, by name
-     * @throws IOException naming what is wrong and what to do
+     * @param config where the socket and the stored drains are
+     * @param engine the source of the status
+     * @param counters the counters to show
+     * @param drains the drains that clients read and change
+     * @param classes the names of the request classes in the current settings
+     * @param members the instances that this one sees, itself first; empty without peers
+     * @param settings the current settings by name
+     * @throws IOException if the socket cannot be opened; the message says why and what to do
      */
     public ControlService(
             ControlConfig config,
@@ -75,130 +79,133 @@
         this.classes = classes;
         this.members = members;
         this.settings = settings;
-        pictures = new StatusCache(this::gather);
+        statusCache = new StatusCache(this::readStatus);
         store = new SnapshotStore(config.directory(), "drains");
-        recall();
+        restoreDrains();
         server = new ControlServer(config.socket(), this, MonotonicClock::now);
         server.start();
-        event("control.open", Map.of("socket", config.socket().toString()));
+        recordEvent("control.open", Map.of("socket", config.socket().toString()));
     }
 
-    private void recall() {
-        for (SnapshotStore.Found found : store.read(Instant.now(), ANY_AGE)) {
+    private void restoreDrains() {
+        for (SnapshotStore.Found file : store.read(Instant.now(), MAX_DRAIN_AGE)) {
             try {
-                if (found.fault() == SnapshotStore.Fault.NONE) {
-                    drains.restoreDrains(ManualDrainJson.parse(found.body()));
+                if (file.fault() == SnapshotStore.Fault.NONE) {
+                    drains.restoreDrains(ManualDrainJson.parse(file.body()));
                     return;
                 }
-                LOG.log(Level.WARNING, "{0} is ignored: {1}", found.file(), found.fault());
+                LOG.log(Level.WARNING, "{0} is ignored: {1}", file.file(), file.fault());
             } catch (IOException unreadable) {
-                LOG.log(
-                        Level.WARNING,
-                        "{0} is ignored: {1}",
-                        found.file(),
-                        unreadable.getMessage());
+                LOG.log(Level.WARNING, "{0} is ignored: {1}", file.file(), unreadable.getMessage());
             }
         }
     }
 
-    private void gather(Consumer<SchedulerStatus> seen) {
-        engine.readStatus((nodes, load) -> server.post(() -> seen.accept(picture(nodes, load))));
+    private void readStatus(Consumer<SchedulerStatus> consumer) {
+        engine.readStatus(
+                (nodes, queues) -> server.post(() -> consumer.accept(status(nodes, queues))));
     }
 
-    private SchedulerStatus picture(List<NodeStatus> nodes, Scheduler.QueueView load) {
-        return new SchedulerStatus(MonotonicClock.now(), nodes, classes.get(), load, drains.list());
+    private SchedulerStatus status(List<NodeStatus> nodes, Scheduler.QueueView queues) {
+        return new SchedulerStatus(
+                MonotonicClock.now(), nodes, classes.get(), queues, drains.list());
     }
 
-    /** Tells when drains are done; asks the engine only while there are any that are not. */
+    /** Records finished drains; reads the nodes only while a drain is unfinished. */
     @Override
     public void tick() {
         if (drains.list().stream().anyMatch(drain -> !drain.done())) {
             engine.readNodes(
-                    facts ->
+                    nodes ->
                             server.post(
-                                    () -> drains.markFinishedDrains(facts).forEach(this::done)));
+                                    () ->
+                                            drains.markFinishedDrains(nodes)
+                                                    .forEach(this::recordDone)));
         }
     }
 
-    private void done(ManualDrain drain) {
-        keep();
-        event("drain.done", Map.of("node", drain.node()));
+    private void recordDone(ManualDrain drain) {
+        storeDrains();
+        recordEvent("drain.done", Map.of("node", drain.node()));
     }
 
-    private void event(String name, Map<String, String> fields) {
+    private void recordEvent(String name, Map<String, String> fields) {
         events.add(Instant.now(), name, fields);
         LOG.log(Level.INFO, "{0} {1}", name, fields);
     }
 
     @Override
-    public void handleRequest(ControlRequest call, Consumer<byte[]> answer) {
-        switch (call.action()) {
+    public void handleRequest(ControlRequest request, Consumer<byte[]> answer) {
+        switch (request.action()) {
             case "view" ->
-                    pictures.read(
+                    statusCache.read(
                             MonotonicClock.now(),
-                            picture ->
+                            status ->
                                     answer.accept(
                                             ControlRequest.answerLine(
-                                                    call.id(), out -> write(out, picture))));
-            case "drain" -> answer.accept(ordered(call, drains.drain(order(call), Instant.now())));
-            case "undrain" -> answer.accept(ordered(call, drains.undrain(order(call))));
+                                                    request.id(), out -> write(out, status))));
+            case "drain" ->
+                    answer.accept(
+                            answerOrder(request, drains.drain(parseOrder(request), Instant.now())));
+            case "undrain" ->
+                    answer.accept(answerOrder(request, drains.undrain(parseOrder(request))));
             case "settings" ->
-                    answer.accept(ControlRequest.answerLine(call.id(), this::writeSettings));
+                    answer.accept(ControlRequest.answerLine(request.id(), this::writeSettings));
             case "events" ->
                     answer.accept(
-                            ControlRequest.answerLine(call.id(), out -> write(out, after(call))));
+                            ControlRequest.answerLine(
+                                    request.id(), out -> write(out, eventsAfter(request))));
             default ->
                     answer.accept(
                             ControlRequest.errorLine(
-                                    call.id(),
-                                    "\"do\":\"" + call.action() + "\" is not known here",
+                                    request.id(),
+                                    "\"do\":\"" + request.action() + "\" is not known here",
                                     "use one of view, watch, drain, undrain, events, settings"));
         }
     }
 
     @Override
     public void writeStatusFrame(Consumer<byte[]> line) {
-        pictures.read(
+        statusCache.read(
                 MonotonicClock.now(),
-                picture ->
-                        line.accept(
-                                ControlRequest.answerLine("watch", out -> write(out, picture))));
+                status ->
+                        line.accept(ControlRequest.answerLine("watch", out -> write(out, status))));
     }
 
-    private static Order order(ControlRequest call) {
-        String command = call.field("command");
+    private static Order parseOrder(ControlRequest request) {
+        String command = request.field("command");
         return new Order(
                 command.isEmpty() ? "call " + UUID.randomUUID() : command,
-                call.field("node"),
-                call.field("who"),
-                call.field("why"),
-                call.field("force").equals("true"));
+                request.field("node"),
+                request.field("who"),
+                request.field("why"),
+                request.field("force").equals("true"));
     }
 
-    private List<Event> after(ControlRequest call) {
+    private List<Event> eventsAfter(ControlRequest request) {
         try {
-            return events.after(Long.parseLong("0" + call.field("after")));
+            return events.after(Long.parseLong("0" + request.field("after")));
         } catch (NumberFormatException notANumber) {
             return events.after(0);
         }
     }
 
-    private byte[] ordered(ControlRequest call, Result result) {
+    private byte[] answerOrder(ControlRequest request, Result result) {
         String names = String.join(", ", result.names());
         return switch (result.kind()) {
             case UNKNOWN_NODE ->
                     ControlRequest.errorLine(
-                            call.id(),
+                            request.id(),
                             "no node is called \"" + result.node() + "\"",
                             "see the nodes with: nodes; there are " + names);
             case AMBIGUOUS ->
                     ControlRequest.errorLine(
-                            call.id(),
+                            request.id(),
                             "\"" + result.node() + "\" fits several nodes",
                             "give more of its id; it may be " + names);
             case ONLY_NODE ->
                     ControlRequest.errorLine(
-                            call.id(),
+                            request.id(),
                             result.node()
                                     + " alone holds shard "
                                     + names
@@ -206,57 +213,61 @@
                             "drain it all the same with --force");
             default -> {
                 boolean acted = result.kind() == ManualDrains.Kind.DONE;
-                boolean kept = !acted || keep();
+                boolean isDurable = !acted || storeDrains();
                 if (acted) {
-                    event(
-                            call.action() + ".ordered",
+                    recordEvent(
+                            request.action() + ".ordered",
                             Map.of(
                                     "node",
                                     result.node(),
                                     "who",
-                                    call.field("who"),
+                                    request.field("who"),
                                     "why",
-                                    call.field("why"),
+                                    request.field("why"),
                                     "durable",
-                                    Boolean.toString(kept)));
+                                    Boolean.toString(isDurable)));
                 }
                 yield ControlRequest.answerLine(
-                        call.id(),
+                        request.id(),
                         out -> {
                             out.writeStringField("node", result.node());
                             out.writeBooleanField("acted", acted);
-                            out.writeBooleanField("durable", kept);
+                            out.writeBooleanField("durable", isDurable);
                         });
             }
         };
     }
 
-    /** A drain that cannot be kept holds all the same: it protects now what would be lost. */
-    private boolean keep() {
+    /**
+     * Stores the drains. Drains that cannot be stored stay in force: they protect now what a
+     * restart would lose.
+     */
+    private boolean storeDrains() {
         try {
             store.write(ManualDrainJson.encode(drains.list()), Instant.now());
             return true;
         } catch (IOException failed) {
-            LOG.log(Level.ERROR, "drains will not outlive a restart: {0}", failed.toString());
+            LOG.log(
+                    Level.ERROR,
+                    "storing the drains failed, a restart will lose them: {0}",
+                    failed.toString());
             return false;
         }
     }
 
-    // ---- what is shown
-
-    private void write(JsonGenerator out, SchedulerStatus picture) throws IOException {
+    private void write(JsonGenerator out, SchedulerStatus status) throws IOException {
         out.writeArrayFieldStart("nodes");
-        for (NodeStatus fact : picture.nodes()) {
-            write(out, fact, picture);
+        for (NodeStatus nodeStatus : status.nodes()) {
+            write(out, nodeStatus, status);
         }
         out.writeEndArray();
         out.writeArrayFieldStart("queues");
-        for (int i = 0; i < picture.queues().queued().length; i++) {
+        for (int i = 0; i < status.queues().queued().length; i++) {
             out.writeStartObject();
             out.writeStringField(
-                    "class", i < picture.classes().size() ? picture.classes().get(i) : "?");
-            out.writeNumberField("held", picture.queues().queued()[i]);
-            out.writeNumberField("oldest_ms", picture.queues().oldestWaitUs()[i] / 1000);
+                    "class", i < status.classes().size() ? status.classes().get(i) : "?");
+            out.writeNumberField("held", status.queues().queued()[i]);
+            out.writeNumberField("oldest_ms", status.queues().oldestWaitUs()[i] / 1000);
             out.writeEndObject();
         }
         out.writeEndArray();
@@ -264,7 +275,7 @@
         for (Reason reason : Reason.values()) {
             out.writeNumberField(
                     reason.name().toLowerCase(Locale.ROOT),
-                    picture.queues().unserved()[reason.ordinal()]);
+                    status.queues().unserved()[reason.ordinal()]);
         }
         out.writeEndObject();
         out.writeObjectFieldStart("counters");
@@ -281,41 +292,46 @@
         }
         out.writeEndArray();
         out.writeArrayFieldStart("drains");
-        for (ManualDrain drain : picture.drains()) {
+        for (ManualDrain drain : status.drains()) {
             ManualDrainJson.write(out, drain);
         }
         out.writeEndArray();
-        List<Event> all = events.after(0);
-        write(out, all.subList(Math.max(0, all.size() - SHOWN_EVENTS), all.size()));
+        List<Event> stored = events.after(0);
+        write(
+                out,
+                stored.subList(Math.max(0, stored.size() - MAX_EVENTS_IN_STATUS), stored.size()));
     }
 
-    private static void write(JsonGenerator out, NodeStatus fact, SchedulerStatus picture)
+    private static void write(JsonGenerator out, NodeStatus nodeStatus, SchedulerStatus status)
             throws IOException {
         out.writeStartObject();
-        out.writeStringField("id", fact.node().id());
-        out.writeNumberField("shard", fact.node().shard());
-        boolean byHand =
-                picture.drains().stream().anyMatch(drain -> drain.node().equals(fact.node().id()));
+        out.writeStringField("id", nodeStatus.node().id());
+        out.writeNumberField("shard", nodeStatus.node().shard());
+        boolean isDrained =
+                status.drains().stream()
+                        .anyMatch(drain -> drain.node().equals(nodeStatus.node().id()));
         out.writeStringField(
                 "state",
-                byHand
+                isDrained
                         ? "drained by hand"
-                        : !fact.view().ready()
+                        : !nodeStatus.view().ready()
                                 ? "draining"
-                                : fact.view().silent()
+                                : nodeStatus.view().silent()
                                         ? "silent"
-                                        : fact.view().coldCapacityUnits() < Double.MAX_VALUE
+                                        : nodeStatus.view().coldCapacityUnits() < Double.MAX_VALUE
                                                 ? "cold"
                                                 : "ready");
-        out.writeNumberField("us_a_unit", Math.round(fact.view().serviceTimePerUnitUs()));
-        out.writeNumberField("units_out", fact.view().inFlightUnits());
-        out.writeNumberField("bound", Math.max(0, fact.view().maxInFlightUnits()));
-        out.writeNumberField("held", fact.view().queued());
-        out.writeNumberField("answers", fact.view().answers());
+        out.writeNumberField("us_a_unit", Math.round(nodeStatus.view().serviceTimePerUnitUs()));
+        out.writeNumberField("units_out", nodeStatus.view().inFlightUnits());
+        out.writeNumberField("bound", Math.max(0, nodeStatus.view().maxInFlightUnits()));
+        out.writeNumberField("held", nodeStatus.view().queued());
+        out.writeNumberField("answers", nodeStatus.view().answers());
         out.writeNumberField(
                 "answered_ago_ms",
-                fact.view().answeredAgoUs() < 0 ? -1 : fact.view().answeredAgoUs() / 1000);
-        out.writeBooleanField("hearsay", fact.view().unconfirmed());
+                nodeStatus.view().answeredAgoUs() < 0
+                        ? -1
+                        : nodeStatus.view().answeredAgoUs() / 1000);
+        out.writeBooleanField("hearsay", nodeStatus.view().unconfirmed());
         out.writeEndObject();
     }
 
--- a/src/main/java/cypressglade/control/ManualDrainJson.java
+++ b/src/main/java/cypressglade/control/ManualDrainJson.java
@@ -12,20 +12,21 @@
 import java.util.List;
 import java.util.Map;
 
-/** Drains by hand as JSON: on the disk, and as they are shown. */
+/** Manual drains as JSON, in the snapshot file and in answers over the control socket. */
 final class ManualDrainJson {
     private ManualDrainJson() {}
 
+    /** The content of the snapshot file: an array of the drains. */
     static byte[] encode(List<ManualDrain> drains) throws IOException {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (JsonGenerator out = ControlRequest.JSON.createGenerator(bytes)) {
+        ByteArrayOutputStream encoded = new ByteArrayOutputStream();
+        try (JsonGenerator out = ControlRequest.JSON.createGenerator(encoded)) {
             out.writeStartArray();
             for (ManualDrain drain : drains) {
                 write(out, drain);
             }
             out.writeEndArray();
         }
-        return bytes.toByteArray();
+        return encoded.toByteArray();
     }
 
     static void write(JsonGenerator out, ManualDrain drain) throws IOException {
@@ -39,11 +40,16 @@
         out.writeEndObject();
     }
 
+    /**
+     * Parses the content of the snapshot file.
+     *
+     * @throws IOException if it is not an array of drains with their times
+     */
     static List<ManualDrain> parse(byte[] body) throws IOException {
         List<ManualDrain> drains = new ArrayList<>();
         try (JsonParser in = ControlRequest.JSON.createParser(body)) {
             if (in.nextToken() != JsonToken.START_ARRAY) {
-                throw new IOException("no list of drains");
+                throw new IOException("not an array of drains");
             }
             while (in.nextToken() == JsonToken.START_OBJECT) {
                 Map<String, String> fields = ControlRequest.readFields(in);
@@ -57,7 +63,7 @@
                                 Boolean.parseBoolean(fields.get("done"))));
             }
         } catch (DateTimeException | NullPointerException incomplete) {
-            throw new IOException("a drain without its times", incomplete);
+            throw new IOException("a drain lacks a time, or has an invalid one", incomplete);
         }
         return drains;
     }
--- a/src/main/java/cypressglade/control/OperatorPortServer.java
+++ b/src/main/java/cypressglade/control/OperatorPortServer.java
@@ -20,97 +20,103 @@
 import java.util.function.Supplier;
 
 /**
- * The operators' door on TCP, on a thread of its own: a call may write to the disk before it is
- * answered, and that must cost neither the I/O thread nor the engine. Each connection carries one
- * line and gets one line, then is closed. Only callers on this machine (loopback) are heard; others
- * are closed unheard.
+ * Listens on the operator port (TCP) with a thread of its own, because a command may write to the
+ * disk before it is answered, which must not block the I/O thread or the engine. Each connection
+ * carries one command line and one answer line, then is closed. Connections from addresses other
+ * than loopback are closed unread.
  *
- * <p>Callers that connect and send nothing, or half a line, hold a place for 5 s at most; beyond
- * {@value #MOST_CALLERS} at once the one waiting longest makes way, so that slow callers keep no
- * one out.
+ * <p>A connection that sends nothing or an incomplete line is closed after 5 s. Beyond {@value
+ * #MAX_CONNECTIONS} connections the oldest is closed, so that slow clients cannot keep others out.
  */
 public final class OperatorPortServer implements AutoCloseable {
     private static final System.Logger LOG = System.getLogger(OperatorPortServer.class.getName());
-    private static final int MOST_CALLERS = 16;
-    private static final Duration MOST_WAIT = Duration.ofSeconds(5);
-    private static final long TICK_MS = 250;
-    private static final String TOO_LONG =
-            "400 a call is one line of at most " + OperatorProtocol.MOST_LINE + " bytes";
+    private static final int MAX_CONNECTIONS = 16;
+    private static final Duration MAX_CONNECTION_AGE = Duration.ofSeconds(5);
+    private static final long TICK_MILLIS = 250;
+    private static final String LINE_TOO_LONG_ANSWER =
+            "400 a call is one line of at most " + OperatorProtocol.MAX_LINE_BYTES + " bytes";
 
-    private final OperatorProtocol door;
+    private final OperatorProtocol protocol;
     private final Runnable tick;
     private final Supplier<Instant> clock;
-    private final ServerSocketChannel listening;
+    private final ServerSocketChannel listener;
     private final Selector selector;
-    private final Map<SocketChannel, Caller> callers = new HashMap<>();
+    private final Map<SocketChannel, Connection> connections = new HashMap<>();
     private final Thread thread = new Thread(this::run, "door");
     private volatile boolean closing;
 
-    /** One connection: what came of its line, and what goes back. */
-    private static final class Caller {
-        private final Instant came;
-        private final ByteBuffer line = ByteBuffer.allocate(OperatorProtocol.MOST_LINE);
+    /** One connection: the part of its line received so far, and the answer once there is one. */
+    private static final class Connection {
+        private final Instant acceptedAt;
+        private final ByteBuffer line = ByteBuffer.allocate(OperatorProtocol.MAX_LINE_BYTES);
         private ByteBuffer answer;
 
-        private Caller(Instant came) {
-            this.came = came;
+        private Connection(Instant acceptedAt) {
+            this.acceptedAt = acceptedAt;
         }
     }
 
     /**
-     * Binds the door.
+     * Binds the operator port.
      *
-     * @param tick run on the door's thread every {@value #TICK_MS} ms at most; must not block for
-     *     long
-     * @throws IOException where the address is taken or cannot be had; the message names the
-     *     address
+     * @param address where to listen; port 0 for any free port
+     * @param protocol executes the commands, on this server's thread
+     * @param tick run on this server's thread after each wait of at most {@value #TICK_MILLIS} ms;
+     *     must not block for long
+     * @param clock the time by which connections age
+     * @throws IOException if the address is in use or unavailable; the message names it
      */
     public OperatorPortServer(
             InetSocketAddress address,
-            OperatorProtocol door,
+            OperatorProtocol protocol,
             Runnable tick,
             Supplier<Instant> clock)
             throws IOException {
-        this.door = door;
+        this.protocol = protocol;
         this.tick = tick;
         this.clock = clock;
-        listening = ServerSocketChannel.open();
+        listener = ServerSocketChannel.open();
         try {
-            listening.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-            listening.bind(address, MOST_CALLERS);
-            listening.configureBlocking(false);
+            listener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+            listener.bind(address, MAX_CONNECTIONS);
+            listener.configureBlocking(false);
             selector = Selector.open();
-            listening.register(selector, SelectionKey.OP_ACCEPT);
-        } catch (IOException taken) {
-            listening.close();
+            listener.register(selector, SelectionKey.OP_ACCEPT);
+        } catch (IOException bindFailure) {
+            listener.close();
             throw new IOException(
-                    "operator door "
+                    "operator port "
                             + address
                             + ": "
-                            + taken.getMessage()
+                            + bindFailure.getMessage()
                             + "; name a free address in \"operator\" or $ROUTER_OPERATOR",
-                    taken);
+                    bindFailure);
         }
         thread.setDaemon(true);
     }
 
-    /** Begins to answer. */
+    /** Starts the server's thread. */
     public void start() {
         thread.start();
     }
 
+    /**
+     * The bound address.
+     *
+     * @throws IllegalStateException if the server is closed
+     */
     public InetSocketAddress address() {
         try {
-            return (InetSocketAddress) listening.getLocalAddress();
+            return (InetSocketAddress) listener.getLocalAddress();
         } catch (IOException closed) {
-            throw new IllegalStateException("the door is closed", closed);
+            throw new IllegalStateException("the operator port is closed", closed);
         }
     }
 
     private void run() {
         while (!closing) {
             try {
-                selector.select(TICK_MS);
+                selector.select(TICK_MILLIS);
                 for (SelectionKey key : List.copyOf(selector.selectedKeys())) {
                     selector.selectedKeys().remove(key);
                     if (!key.isValid()) {
@@ -123,13 +129,13 @@
                     }
                 }
                 tick.run();
-                Instant oldest = clock.get().minus(MOST_WAIT);
-                List.copyOf(callers.entrySet()).stream()
-                        .filter(one -> one.getValue().came.isBefore(oldest))
-                        .forEach(one -> drop(one.getKey()));
+                Instant oldest = clock.get().minus(MAX_CONNECTION_AGE);
+                List.copyOf(connections.entrySet()).stream()
+                        .filter(entry -> entry.getValue().acceptedAt.isBefore(oldest))
+                        .forEach(entry -> drop(entry.getKey()));
             } catch (IOException | RuntimeException failed) {
                 if (!closing) {
-                    LOG.log(Level.WARNING, "operator door: a call failed", failed);
+                    LOG.log(Level.WARNING, "operator port: a command failed", failed);
                 }
             }
         }
@@ -137,77 +143,77 @@
 
     private void accept() throws IOException {
         SocketChannel channel;
-        while ((channel = listening.accept()) != null) {
+        while ((channel = listener.accept()) != null) {
             if (!((InetSocketAddress) channel.getRemoteAddress())
                     .getAddress()
                     .isLoopbackAddress()) {
                 LOG.log(
                         Level.WARNING,
-                        "operator door: closed a caller from "
+                        "operator port: closed a connection from "
                                 + channel.getRemoteAddress()
-                                + "; only this machine is heard");
+                                + "; only loopback connections are accepted");
                 channel.close();
                 continue;
             }
-            if (callers.size() >= MOST_CALLERS) {
-                callers.entrySet().stream()
-                        .min(Comparator.comparing(one -> one.getValue().came))
-                        .ifPresent(one -> drop(one.getKey()));
+            if (connections.size() >= MAX_CONNECTIONS) {
+                connections.entrySet().stream()
+                        .min(Comparator.comparing(entry -> entry.getValue().acceptedAt))
+                        .ifPresent(entry -> drop(entry.getKey()));
             }
             channel.configureBlocking(false);
             channel.register(selector, SelectionKey.OP_READ);
-            callers.put(channel, new Caller(clock.get()));
+            connections.put(channel, new Connection(clock.get()));
         }
     }
 
     private void serve(SocketChannel channel, SelectionKey key) throws IOException {
-        Caller caller = callers.get(channel);
-        if (caller == null) {
+        Connection connection = connections.get(channel);
+        if (connection == null) {
             channel.close();
             return;
         }
-        if (caller.answer == null) {
+        if (connection.answer == null) {
             int read;
             try {
-                read = channel.read(caller.line);
+                read = channel.read(connection.line);
             } catch (IOException reset) {
                 drop(channel);
                 return;
             }
-            int end = lineEnd(caller.line);
+            int end = findLineEnd(connection.line);
             boolean ended = read < 0;
-            if (end < 0 && !ended && caller.line.hasRemaining()) {
+            if (end < 0 && !ended && connection.line.hasRemaining()) {
                 return;
             }
-            if (end < 0 && ended && caller.line.position() == 0) {
+            if (end < 0 && ended && connection.line.position() == 0) {
                 drop(channel);
                 return;
             }
             String answer =
                     end < 0 && !ended
-                            ? TOO_LONG
-                            : door.answer(
+                            ? LINE_TOO_LONG_ANSWER
+                            : protocol.answer(
                                     new String(
-                                                    caller.line.array(),
+                                                    connection.line.array(),
                                                     0,
-                                                    end < 0 ? caller.line.position() : end,
+                                                    end < 0 ? connection.line.position() : end,
                                                     StandardCharsets.UTF_8)
                                             .replace("\r", ""));
-            caller.answer = ByteBuffer.wrap((answer + "\n").getBytes(StandardCharsets.UTF_8));
+            connection.answer = ByteBuffer.wrap((answer + "\n").getBytes(StandardCharsets.UTF_8));
             key.interestOps(SelectionKey.OP_WRITE);
         }
         try {
-            channel.write(caller.answer);
+            channel.write(connection.answer);
         } catch (IOException reset) {
             drop(channel);
             return;
         }
-        if (!caller.answer.hasRemaining()) {
+        if (!connection.answer.hasRemaining()) {
             drop(channel);
         }
     }
 
-    private static int lineEnd(ByteBuffer line) {
+    private static int findLineEnd(ByteBuffer line) {
         for (int at = 0; at < line.position(); at++) {
             if (line.get(at) == '\n') {
                 return at;
@@ -216,13 +222,13 @@
         return -1;
     }
 
-    /** The one place where a caller's connection is given back. */
+    /** Closes a connection; the only place that does so. */
     private void drop(SocketChannel channel) {
-        callers.remove(channel);
+        connections.remove(channel);
         try {
             channel.close();
         } catch (IOException gone) {
-            LOG.log(Level.DEBUG, "operator door: a caller was gone", gone);
+            LOG.log(Level.DEBUG, "operator port: closing a connection failed", gone);
         }
     }
 
@@ -231,16 +237,16 @@
         closing = true;
         selector.wakeup();
         try {
-            thread.join(TICK_MS * 4);
+            thread.join(TICK_MILLIS * 4);
         } catch (InterruptedException cut) {
             Thread.currentThread().interrupt();
         }
-        List.copyOf(callers.keySet()).forEach(this::drop);
+        List.copyOf(connections.keySet()).forEach(this::drop);
         try {
-            listening.close();
+            listener.close();
             selector.close();
         } catch (IOException gone) {
-            LOG.log(Level.DEBUG, "operator door: closing", gone);
+            LOG.log(Level.DEBUG, "operator port: closing the listener failed", gone);
         }
     }
 }
--- a/src/main/java/cypressglade/operate/ManualDrain.java
+++ b/src/main/java/cypressglade/operate/ManualDrain.java
@@ -3,14 +3,16 @@
 import java.time.Instant;
 
 /**
- * A node that an operator takes out of service.
+ * A storage node that an operator takes out of service.
  *
- * @param node its stable id
- * @param started the start of the run that is drained, as the list told it; a later run of the same
- *     node, and a node that takes its place under another id, are not drained
- * @param operatorName the operator, as the control socket knows him
- * @param reason in his words, may be empty
- * @param done whether nothing of this scheduler runs there any more
+ * @param node the node's stable id
+ * @param started the start of the drained run, as the node list gives it; a later run of the same
+ *     node, and a node that replaces it under another id, are not drained
+ * @param operatorName the operator, as named over the control socket, or the member that announced
+ *     the drain; may be empty
+ * @param orderedAt the time of the order
+ * @param reason the operator's reason; may be empty
+ * @param done whether this scheduler has nothing queued or in flight there any more
  */
 public record ManualDrain(
         String node,
--- a/src/main/java/cypressglade/operate/ManualDrains.java
+++ b/src/main/java/cypressglade/operate/ManualDrains.java
@@ -16,130 +16,151 @@
 import java.util.stream.Collectors;
 
 /**
- * Drains by hand over what the sources tell. A drain holds for one run of one node, whatever the
- * sources say of it, until it is taken back, the node leaves the list, or it comes back with a
- * later start. The list as told is kept, so that taking a drain back shows what the sources say by
- * then.
+ * Manual drains and bans of storage nodes, applied to the node lists that discovery sources
+ * announce. A drain applies to one run of one node, whatever state the sources announce, until an
+ * operator removes it, the node leaves the list, or the node returns with a later start time. A ban
+ * applies to every run of a node until an operator removes it. The announced list is stored, so
+ * that removing a drain or a ban restores the state that the sources announce at that moment.
  *
- * <p>The lock holds from the decision to the end of {@code out}, so that a list from a source and
- * an order of an operator cannot overtake each other; {@code out} must not block.
+ * <p>Safe for use by several threads. The lock is held from a decision until the list consumer has
+ * returned, so that a list from a source and an operator's order reach it in the order in which
+ * they were applied; the consumer must not block.
  */
 public final class ManualDrains {
-    private static final int MOST_COMMANDS = 256;
-    private static final int MOST_NAMED = 5;
-    private static final String NODE = "node ";
+    private static final int MAX_REMEMBERED_COMMANDS = 256;
+    private static final int MAX_SUGGESTED_NODES = 5;
+    private static final String NODE_PREFIX = "node ";
     private static final String EXCLUDE = "exclude";
     private static final String INCLUDE = "include";
-    private static final String DRAIN = "drain ";
+    private static final String DRAIN_PREFIX = "drain ";
     private static final String UNDRAIN = "undrain";
 
-    private final Consumer<NodeList> out;
-    private final ManualDrains.DecisionListener decided;
-    private final Map<String, Entry> told = new LinkedHashMap<>();
+    private final Consumer<NodeList> effectiveLists;
+    private final DecisionListener decisionListener;
+    private final Map<String, Entry> announced = new LinkedHashMap<>();
     private final Map<String, ManualDrain> drains = new LinkedHashMap<>();
 
-    /**
-     * Nodes out by the operators' door: held over restarts and lists that lack them, until taken
-     * back.
-     */
+    /** Banned ids. They outlast restarts of the nodes and lists without them. */
     private final Set<String> bans = new LinkedHashSet<>();
 
     private final LinkedHashMap<String, Result> commands = new LinkedHashMap<>();
     private long version;
 
-    /** What became of an order. */
+    /** The outcome of an order. */
     public enum Kind {
+        /** The order was carried out. */
         DONE,
+        /** Nothing changed: the order was carried out before, or its effect holds already. */
         ALREADY,
+        /** Nothing changed: no listed node has this id or prefix. */
         UNKNOWN_NODE,
+        /** Nothing changed: several listed nodes have this prefix. */
         AMBIGUOUS,
+        /** Nothing changed: no other ready node serves the shard, and the order is not forced. */
         ONLY_NODE
     }
 
     /**
-     * The answer to an order.
+     * The result of an order.
      *
-     * @param node the id that the order came to mean, or the name as given
-     * @param names of nodes to choose from, or the shard that would be left without a node
+     * @param kind the outcome
+     * @param node the id that the order resolved to, or the name as given
+     * @param names for UNKNOWN_NODE and AMBIGUOUS, up to {@value #MAX_SUGGESTED_NODES} node ids to
+     *     choose from; for ONLY_NODE, the number of the shard that would have no node left; empty
+     *     otherwise
      */
     public record Result(Kind kind, String node, List<String> names) {}
 
     /**
-     * An order.
+     * An operator's order to drain a node or to remove its drain.
      *
-     * @param commandId a name that its giver made up: an order under a name that was carried out is
-     *     not again
-     * @param node a node's id, or the beginning of just one
-     * @param isForced also where no other node holds the shard
+     * @param commandId idempotency key, made up by the sender: while it is among the last {@value
+     *     #MAX_REMEMBERED_COMMANDS} that were carried out, a repeated order has no effect
+     * @param node a node's id, or a prefix of exactly one listed id
+     * @param operatorName who gave the order; may be empty
+     * @param reason the operator's reason; may be empty
+     * @param isForced whether to drain also the only ready node of a shard
      */
     public record Order(
             String commandId, String node, String operatorName, String reason, boolean isForced) {}
 
-    /** Hears what was decided here, so that others can be told of it; must not block. */
+    /** Receives the decisions made here, for announcement to other instances; must not block. */
     public interface DecisionListener {
-        /** A subject, as {@code node s-1}, and what was decided on it, as {@code exclude}. */
-        void onDecision(String subject, String word);
+        /**
+         * Called under the lock after each decision.
+         *
+         * @param subject {@code "node ID"} for bans, {@code "drain ID"} for drains
+         * @param decision {@code exclude} or {@code include} for bans; {@code undrain}, or {@code
+         *     drain} with the start of the drained run in milliseconds since 1970, for drains
+         */
+        void onDecision(String subject, String decision);
     }
 
-    /** Drains over nothing yet; what holds goes to {@code out}. */
-    public ManualDrains(Consumer<NodeList> out) {
-        this(out, (subject, word) -> {});
+    /** Creates an empty state whose decisions are not announced to other instances. */
+    public ManualDrains(Consumer<NodeList> effectiveLists) {
+        this(effectiveLists, (subject, decision) -> {});
     }
 
-    /** The same, for one whose decisions others share. */
-    public ManualDrains(Consumer<NodeList> out, ManualDrains.DecisionListener decided) {
-        this.out = out;
-        this.decided = decided;
+    /**
+     * Creates an empty state.
+     *
+     * @param effectiveLists receives node lists with drained and banned nodes as DRAINING; must not
+     *     block
+     * @param decisionListener receives the decisions made here
+     */
+    public ManualDrains(Consumer<NodeList> effectiveLists, DecisionListener decisionListener) {
+        this.effectiveLists = effectiveLists;
+        this.decisionListener = decisionListener;
     }
 
     /**
-     * Takes drains of a former life, before any list; those of runs that are over end as lists tell
-     * it.
+     * Restores the drains of a former process; call before the first list. Drains of runs that have
+     * ended are removed as node lists show it.
      */
-    public synchronized void restoreDrains(Collection<ManualDrain> kept) {
-        kept.forEach(drain -> drains.put(drain.node(), drain));
+    public synchronized void restoreDrains(Collection<ManualDrain> restored) {
+        restored.forEach(drain -> drains.put(drain.node(), drain));
     }
 
-    /** Takes what a source told, and hands on what holds. */
+    /** Applies a source's list and passes it on with drained and banned nodes as DRAINING. */
     public synchronized void updateNodes(NodeList list) {
         version = list.version();
-        Set<String> before = Set.copyOf(told.keySet());
+        Set<String> known = Set.copyOf(announced.keySet());
         if (list.full()) {
-            told.clear();
+            announced.clear();
         }
         for (Entry entry : list.entries()) {
             if (entry.state() == State.GONE) {
-                told.remove(entry.id());
+                announced.remove(entry.id());
             } else {
-                told.put(entry.id(), entry);
+                announced.put(entry.id(), entry);
             }
         }
         drains.values()
                 .removeIf(
                         drain -> {
-                            // The first list after a restart may be the configuration's, older or
-                            // shorter than the sources':
-                            // a node has left only if it was there in this life.
-                            Entry entry = told.get(drain.node());
+                            // The first list after a restart may come from the configuration and
+                            // be older or shorter than the sources' list, so a node has left
+                            // only if this process has seen it listed.
+                            Entry entry = announced.get(drain.node());
                             return entry == null
-                                    ? before.contains(drain.node())
+                                    ? known.contains(drain.node())
                                     : entry.started().isAfter(drain.started());
                         });
-        out.accept(
+        effectiveLists.accept(
                 new NodeList(
                         list.version(),
                         list.full(),
-                        list.entries().stream().map(this::held).toList()));
+                        list.entries().stream().map(this::effectiveEntry).toList()));
     }
 
-    /** Whether {@code one} is another node of the entry's cell, and ready. */
-    private boolean standsIn(Entry one, Entry entry) {
+    /** Whether {@code one} is another node of the entry's shard, and ready. */
+    private boolean canReplace(Entry one, Entry entry) {
         return one.shard() == entry.shard()
                 && !one.id().equals(entry.id())
-                && held(one).state() == State.READY;
+                && effectiveEntry(one).state() == State.READY;
     }
 
-    private Entry held(Entry entry) {
+    private Entry effectiveEntry(Entry entry) {
         return entry.state() == State.READY
                         && (drains.containsKey(entry.id()) || bans.contains(entry.id()))
                 ? new Entry(
@@ -154,21 +175,22 @@
                 : entry;
     }
 
-    /** Drains a node; once this returns DONE nothing new starts there. */
+    /** Drains a node; after a result of DONE no new attempt starts there. */
     public synchronized Result drain(Order order, Instant now) {
-        return once(
+        return executeOnce(
                 order,
                 () -> {
-                    Result named = named(order.node());
-                    if (named.kind() != Kind.DONE) {
-                        return named;
+                    Result resolved = resolve(order.node());
+                    if (resolved.kind() != Kind.DONE) {
+                        return resolved;
                     }
-                    Entry entry = told.get(named.node());
+                    Entry entry = announced.get(resolved.node());
                     if (drains.containsKey(entry.id())) {
                         return new Result(Kind.ALREADY, entry.id(), List.of());
                     }
-                    boolean other = told.values().stream().anyMatch(one -> standsIn(one, entry));
-                    if (!other && entry.state() == State.READY && !order.isForced()) {
+                    boolean hasReplacement =
+                            announced.values().stream().anyMatch(one -> canReplace(one, entry));
+                    if (!hasReplacement && entry.state() == State.READY && !order.isForced()) {
                         return new Result(
                                 Kind.ONLY_NODE,
                                 entry.id(),
@@ -183,180 +205,189 @@
                                     now,
                                     order.reason(),
                                     false));
-                    show(entry);
-                    decided.onDecision(DRAIN + entry.id(), DRAIN + entry.started().toEpochMilli());
-                    return named;
+                    publish(entry);
+                    decisionListener.onDecision(
+                            DRAIN_PREFIX + entry.id(),
+                            DRAIN_PREFIX + entry.started().toEpochMilli());
+                    return resolved;
                 });
     }
 
-    /** Takes a drain back: the node is what the sources say it is. */
+    /** Removes a drain: the node has the state that the sources announce again. */
     public synchronized Result undrain(Order order) {
-        return once(
+        return executeOnce(
                 order,
                 () -> {
-                    Result named =
+                    Result resolved =
                             drains.containsKey(order.node())
                                     ? new Result(Kind.DONE, order.node(), List.of())
-                                    : named(order.node());
-                    if (named.kind() != Kind.DONE) {
-                        return named;
+                                    : resolve(order.node());
+                    if (resolved.kind() != Kind.DONE) {
+                        return resolved;
                     }
-                    if (drains.remove(named.node()) == null) {
-                        return new Result(Kind.ALREADY, named.node(), List.of());
+                    if (drains.remove(resolved.node()) == null) {
+                        return new Result(Kind.ALREADY, resolved.node(), List.of());
                     }
-                    showIfTold(named.node());
-                    decided.onDecision(DRAIN + named.node(), UNDRAIN);
-                    return named;
+                    publishIfListed(resolved.node());
+                    decisionListener.onDecision(DRAIN_PREFIX + resolved.node(), UNDRAIN);
+                    return resolved;
                 });
     }
 
-    private Result once(Order order, Supplier<Result> act) {
-        Result before = commands.get(order.commandId());
-        if (before != null) {
-            return new Result(Kind.ALREADY, before.node(), before.names());
+    private Result executeOnce(Order order, Supplier<Result> act) {
+        Result earlier = commands.get(order.commandId());
+        if (earlier != null) {
+            return new Result(Kind.ALREADY, earlier.node(), earlier.names());
         }
         Result result = act.get();
         if (result.kind() == Kind.DONE) {
             commands.put(order.commandId(), result);
-            if (commands.size() > MOST_COMMANDS) {
+            if (commands.size() > MAX_REMEMBERED_COMMANDS) {
                 commands.remove(commands.keySet().iterator().next());
             }
         }
         return result;
     }
 
-    private void showIfTold(String node) {
-        if (told.containsKey(node)) {
-            show(told.get(node));
+    private void publishIfListed(String node) {
+        if (announced.containsKey(node)) {
+            publish(announced.get(node));
         }
     }
 
     /**
-     * Takes what was decided at another member, in the words of {@link
-     * ManualDrains.DecisionListener}: it holds here from now on, whether the node is listed here
-     * yet or not. What it cannot read changes nothing.
+     * Applies another member's decision, in the form of {@link DecisionListener}, whether or not
+     * the node is listed here yet. An unreadable decision changes nothing.
      *
-     * @return whether it is about nodes
+     * @param by the member that announced the decision
+     * @param when the time of the decision
+     * @return whether the decision was a readable one about a node
      */
     public synchronized boolean applyDecision(
-            String subject, String word, String by, Instant when) {
-        boolean node = subject.startsWith(NODE);
+            String subject, String decision, String by, Instant when) {
+        boolean isNodeSubject = subject.startsWith(NODE_PREFIX);
         String id = subject.substring(subject.indexOf(' ') + 1);
-        if (node && word.equals(EXCLUDE)) {
+        if (isNodeSubject && decision.equals(EXCLUDE)) {
             bans.add(id);
-        } else if (node && word.equals(INCLUDE)) {
+        } else if (isNodeSubject && decision.equals(INCLUDE)) {
             bans.remove(id);
-        } else if (subject.startsWith(DRAIN) && word.equals(UNDRAIN)) {
+        } else if (subject.startsWith(DRAIN_PREFIX) && decision.equals(UNDRAIN)) {
             drains.remove(id);
-        } else if (subject.startsWith(DRAIN) && word.matches(DRAIN + "[0-9]{1,15}")) {
-            Instant run = Instant.ofEpochMilli(Long.parseLong(word.substring(DRAIN.length())));
-            if (told.containsKey(id) && told.get(id).started().isAfter(run)) {
-                return true; // that run of it is over
+        } else if (subject.startsWith(DRAIN_PREFIX)
+                && decision.matches(DRAIN_PREFIX + "[0-9]{1,15}")) {
+            Instant run =
+                    Instant.ofEpochMilli(Long.parseLong(decision.substring(DRAIN_PREFIX.length())));
+            if (announced.containsKey(id) && announced.get(id).started().isAfter(run)) {
+                return true; // the drained run has ended
             }
             drains.put(id, new ManualDrain(id, run, by, when, "", false));
         } else {
             return false;
         }
-        showIfTold(id);
+        publishIfListed(id);
         return true;
     }
 
-    private void show(Entry entry) {
-        out.accept(new NodeList(version, false, List.of(held(entry))));
+    private void publish(Entry entry) {
+        effectiveLists.accept(new NodeList(version, false, List.of(effectiveEntry(entry))));
     }
 
-    private Result named(String name) {
-        if (told.containsKey(name)) {
+    /** Finds a listed node by its id or by a prefix of exactly one id. */
+    private Result resolve(String name) {
+        if (announced.containsKey(name)) {
             return new Result(Kind.DONE, name, List.of());
         }
-        List<String> fits =
-                told.keySet().stream()
+        List<String> matches =
+                announced.keySet().stream()
                         .filter(id -> !name.isEmpty() && id.startsWith(name))
                         .sorted()
                         .toList();
-        if (fits.size() == 1) {
-            return new Result(Kind.DONE, fits.get(0), List.of());
+        if (matches.size() == 1) {
+            return new Result(Kind.DONE, matches.get(0), List.of());
         }
-        return fits.isEmpty()
-                ? unknown(name)
-                : new Result(Kind.AMBIGUOUS, name, fits.stream().limit(MOST_NAMED).toList());
+        return matches.isEmpty()
+                ? unknownNode(name)
+                : new Result(
+                        Kind.AMBIGUOUS, name, matches.stream().limit(MAX_SUGGESTED_NODES).toList());
     }
 
-    /** No such node: the answer names some that are listed, to choose from. */
-    private Result unknown(String name) {
+    /** The result for a name that no listed node has, with some listed ids as suggestions. */
+    private Result unknownNode(String name) {
         return new Result(
                 Kind.UNKNOWN_NODE,
                 name,
-                told.keySet().stream().sorted().limit(MOST_NAMED).toList());
+                announced.keySet().stream().sorted().limit(MAX_SUGGESTED_NODES).toList());
     }
 
-    /**
-     * Takes bans of a former life or of the process that this one upgrades, beside those that hold.
-     */
-    public synchronized void restoreBans(Collection<String> kept) {
-        bans.addAll(kept);
-        kept.forEach(this::showIfTold);
+    /** Adds the bans of a former process or of the process that this one replaces in an upgrade. */
+    public synchronized void restoreBans(Collection<String> restored) {
+        bans.addAll(restored);
+        restored.forEach(this::publishIfListed);
     }
 
-    /**
-     * Takes the bans that the process beside this one has decided on, in place of those that held
-     * here.
-     */
-    public synchronized void setBans(Collection<String> decidedBeside) {
+    /** Replaces the bans by those of the other process of this instance, during an upgrade. */
+    public synchronized void setBans(Collection<String> replacement) {
         Set<String> changed = new LinkedHashSet<>(bans);
-        changed.addAll(decidedBeside);
+        changed.addAll(replacement);
         bans.clear();
-        bans.addAll(decidedBeside);
-        changed.forEach(this::showIfTold);
+        bans.addAll(replacement);
+        changed.forEach(this::publishIfListed);
     }
 
     /**
-     * Bans a node by its exact id: nothing new starts there once this returns, whatever later lists
-     * say of it and however often it restarts, until {@link #include}. A ban that holds is ALREADY,
-     * listed or not; an id that is neither banned nor listed is UNKNOWN_NODE, and changes nothing.
+     * Bans a node by its exact id: no new attempt starts there once this returns, whatever later
+     * lists announce and however often the node restarts, until {@link #include}. Returns ALREADY
+     * for a banned id, listed or not, and UNKNOWN_NODE, without effect, for an id that is neither
+     * banned nor listed.
      */
     public synchronized Result exclude(String node) {
         if (bans.contains(node)) {
             return new Result(Kind.ALREADY, node, List.of());
         }
-        Entry entry = told.get(node);
+        Entry entry = announced.get(node);
         if (entry == null) {
-            return unknown(node);
+            return unknownNode(node);
         }
         bans.add(node);
-        show(entry);
-        decided.onDecision(NODE + node, EXCLUDE);
+        publish(entry);
+        decisionListener.onDecision(NODE_PREFIX + node, EXCLUDE);
         return new Result(Kind.DONE, node, List.of());
     }
 
     /**
-     * Takes a ban back, however many times it was given: the node is what the sources say of it.
+     * Removes a ban, however often it was ordered: the node has the state that the sources announce
+     * again. Returns ALREADY for a listed id without a ban, and UNKNOWN_NODE for an id that is
+     * neither banned nor listed.
      */
     public synchronized Result include(String node) {
         if (!bans.remove(node)) {
-            return told.containsKey(node)
+            return announced.containsKey(node)
                     ? new Result(Kind.ALREADY, node, List.of())
-                    : unknown(node);
+                    : unknownNode(node);
         }
-        showIfTold(node);
-        decided.onDecision(NODE + node, INCLUDE);
+        publishIfListed(node);
+        decisionListener.onDecision(NODE_PREFIX + node, INCLUDE);
         return new Result(Kind.DONE, node, List.of());
     }
 
-    /** The bans that hold, in the order in which they were given. */
+    /** The ids of the banned nodes, in the order of the bans. */
     public synchronized List<String> bans() {
         return List.copyOf(bans);
     }
 
     /**
-     * Takes in the views: a drain is done when nothing is out or held there. Returns the newly
-     * done.
+     * Marks drains as done whose nodes have no units in flight and no queued requests.
+     *
+     * @return the drains that this call marked
      */
-    public synchronized List<ManualDrain> markFinishedDrains(List<NodeStatus> facts) {
+    public synchronized List<ManualDrain> markFinishedDrains(List<NodeStatus> statuses) {
         Set<String> busy =
-                facts.stream()
-                        .filter(fact -> fact.view().inFlightUnits() > 0 || fact.view().queued() > 0)
-                        .map(fact -> fact.node().id())
+                statuses.stream()
+                        .filter(
+                                status ->
+                                        status.view().inFlightUnits() > 0
+                                                || status.view().queued() > 0)
+                        .map(status -> status.node().id())
                         .collect(Collectors.toSet());
         List<ManualDrain> done =
                 drains.values().stream()
@@ -367,7 +398,7 @@
         return done;
     }
 
-    /** What holds now, in the order in which it was ordered. */
+    /** The drains in force, in the order in which they were ordered. */
     public synchronized List<ManualDrain> list() {
         return List.copyOf(drains.values());
     }
--- a/src/main/java/cypressglade/operate/OperatorProtocol.java
+++ b/src/main/java/cypressglade/operate/OperatorProtocol.java
@@ -5,92 +5,92 @@
 import java.util.Optional;
 
 /**
- * The calls of the operators' door: one line in, one line out, {@code 200} for yes and {@code 400}
- * for no. No I/O: {@link #answer} is handed a line and what it acts on, and returns the line to
- * send back.
+ * The commands of the operator port: one line in, one line out, which begins with {@code 200} for
+ * success and {@code 400} for a refusal. No I/O: {@link #answer} takes a line and returns the line
+ * to send back.
  *
- * <p>A call that cannot be read gets a no that names what was wrong and what to send instead, and
- * changes nothing.
+ * <p>A malformed command changes nothing; the answer says what was wrong and what to send instead.
  */
 public final class OperatorProtocol {
-    /** Longer lines are no call of this door; the rest of them is not read. */
-    public static final int MOST_LINE = 256;
+    /** Bound of a command line in bytes; the rest of a longer line is not read. */
+    public static final int MAX_LINE_BYTES = 256;
 
-    /** What the calls act on; each returns once what it did holds. */
+    /** The operations behind the commands; each returns once its effect is in force. */
     public interface Actions {
-        /** Whether this process takes clients. */
+        /** Whether this process accepts clients. */
         boolean takesClients();
 
         /**
-         * Nothing new to a node, over its restarts, until {@link #include}; UNKNOWN_NODE if
-         * unlisted.
+         * Bans a node: it gets no new attempts, also after its restarts, until {@link #include};
+         * UNKNOWN_NODE if it is not listed.
          */
         ManualDrains.Result exclude(String node);
 
-        /** Takes a ban back; ALREADY where there was none. */
+        /** Removes a ban; ALREADY where there is none. */
         ManualDrains.Result include(String node);
 
-        /** Sends clients away, without exiting. */
+        /** Drains this instance: sends its clients to others, without exiting. */
         void evacuate();
 
-        /** Ends the drain: clients may come again. */
+        /** Ends the evacuation: this instance accepts clients again. */
         void activate();
 
-        /** What this process sees of the fleet, as one line; nothing where no view is kept. */
+        /** This process's view of the fleet as one line; empty where it keeps no view. */
         Optional<String> fleet();
     }
 
-    private final OperatorProtocol.Actions acts;
+    private final Actions actions;
 
-    public OperatorProtocol(OperatorProtocol.Actions acts) {
-        this.acts = acts;
+    /** Creates the protocol over the operations that its commands execute. */
+    public OperatorProtocol(Actions actions) {
+        this.actions = actions;
     }
 
     /**
-     * Answers one call.
+     * Executes one command.
      *
-     * @param line what came, without its line end
+     * @param line the command, without its line end
      * @return the answer, without its line end
      */
     public String answer(String line) {
         String[] words = line.strip().split("\\s+");
         String verb = words[0].toLowerCase(Locale.ROOT);
-        int wanted = verb.equals("exclude") || verb.equals("include") ? 2 : 1;
-        if (words.length != wanted) {
-            return wanted == 2
+        int expectedWords = verb.equals("exclude") || verb.equals("include") ? 2 : 1;
+        if (words.length != expectedWords) {
+            return expectedWords == 2
                     ? "400 " + verb + " takes one storage node id: " + verb + " ID"
-                    : unknown(line);
+                    : unknownCall(line);
         }
         return switch (verb) {
-            case "readyz" -> acts.takesClients() ? "200 ready" : "400 not taking clients yet";
-            case "exclude" -> said(acts.exclude(words[1]), "excluded");
-            case "include" -> said(acts.include(words[1]), "included");
+            case "readyz" -> actions.takesClients() ? "200 ready" : "400 not taking clients yet";
+            case "exclude" -> resultLine(actions.exclude(words[1]), "excluded");
+            case "include" -> resultLine(actions.include(words[1]), "included");
             case "evacuate" -> {
-                acts.evacuate();
+                actions.evacuate();
                 yield "200 evacuating";
             }
             case "activate" -> {
-                acts.activate();
+                actions.activate();
                 yield "200 active";
             }
             case "fleet" ->
-                    acts.fleet()
+                    actions.fleet()
                             .map(view -> "200 " + view)
                             .orElse(
                                     "400 no fleet view is kept here: "
                                             + "set \"view\": true in the file that --peers names, "
                                             + "and restart");
-            default -> unknown(line);
+            default -> unknownCall(line);
         };
     }
 
-    private static String unknown(String line) {
+    private static String unknownCall(String line) {
         return "400 unknown call '"
                 + clip(line)
                 + "': send readyz, exclude ID, include ID, evacuate, activate or fleet";
     }
 
-    private static String said(ManualDrains.Result result, String done) {
+    private static String resultLine(ManualDrains.Result result, String done) {
         return result.kind() == Kind.UNKNOWN_NODE || result.kind() == Kind.AMBIGUOUS
                 ? "400 no storage node "
                         + clip(result.node())
--- a/src/main/java/cypressglade/operate/SchedulerStatus.java
+++ b/src/main/java/cypressglade/operate/SchedulerStatus.java
@@ -5,7 +5,15 @@
 import java.time.Instant;
 import java.util.List;
 
-/** What a scheduler looked like at one time; never changes after. */
+/**
+ * An immutable, consistent view of the scheduler at one moment.
+ *
+ * @param at the time of the view
+ * @param nodes the known nodes
+ * @param classes the names of the request classes, in the order of the counts in {@code queues}
+ * @param queues the queued requests and the rejected ones by reason
+ * @param drains the manual drains in force
+ */
 public record SchedulerStatus(
         Instant at,
         List<NodeStatus> nodes,
--- a/src/main/java/cypressglade/operate/StatusCache.java
+++ b/src/main/java/cypressglade/operate/StatusCache.java
@@ -8,46 +8,48 @@
 import java.util.function.Consumer;
 
 /**
- * Makes pictures only while somebody looks, and no more than four a second however many look:
- * whoever asks within that time of the last gets the last, whoever asks while one is made waits for
- * it. Safe for several threads.
+ * Caches the scheduler's status for 250 ms, so that any number of readers cause at most four reads
+ * a second, and none while nobody asks. Callers that ask during a read wait for its result. Safe
+ * for use by several threads.
  */
 public final class StatusCache {
-    private static final Duration GAP = Duration.ofMillis(250);
+    private static final Duration MAX_AGE = Duration.ofMillis(250);
 
-    private final Consumer<Consumer<SchedulerStatus>> source;
-    private final List<Consumer<SchedulerStatus>> waiting = new ArrayList<>();
-    private Optional<SchedulerStatus> last = Optional.empty();
+    private final Consumer<Consumer<SchedulerStatus>> statusReader;
+    private final List<Consumer<SchedulerStatus>> waitingConsumers = new ArrayList<>();
+    private Optional<SchedulerStatus> latest = Optional.empty();
 
-    /** {@code source} makes one picture and hands it over, on whichever thread. */
-    public StatusCache(Consumer<Consumer<SchedulerStatus>> source) {
-        this.source = source;
+    /**
+     * Creates a cache; {@code statusReader} reads one status and may pass it on from any thread.
+     */
+    public StatusCache(Consumer<Consumer<SchedulerStatus>> statusReader) {
+        this.statusReader = statusReader;
     }
 
-    /** Hands over a picture that is at most a quarter of a second old, at once or soon. */
-    public void read(Instant now, Consumer<SchedulerStatus> seen) {
+    /** Passes on a status that is less than 250 ms old, on this thread or later on the reader's. */
+    public void read(Instant now, Consumer<SchedulerStatus> consumer) {
         Optional<SchedulerStatus> fresh;
-        boolean first = false;
+        boolean mustRead = false;
         synchronized (this) {
-            fresh = last.filter(picture -> picture.at().plus(GAP).isAfter(now));
+            fresh = latest.filter(status -> status.at().plus(MAX_AGE).isAfter(now));
             if (fresh.isEmpty()) {
-                first = waiting.isEmpty();
-                waiting.add(seen);
+                mustRead = waitingConsumers.isEmpty();
+                waitingConsumers.add(consumer);
             }
         }
-        fresh.ifPresent(seen);
-        if (first) {
-            source.accept(this::made);
+        fresh.ifPresent(consumer);
+        if (mustRead) {
+            statusReader.accept(this::deliver);
         }
     }
 
-    private void made(SchedulerStatus picture) {
-        List<Consumer<SchedulerStatus>> all;
+    private void deliver(SchedulerStatus status) {
+        List<Consumer<SchedulerStatus>> consumers;
         synchronized (this) {
-            last = Optional.of(picture);
-            all = List.copyOf(waiting);
-            waiting.clear();
+            latest = Optional.of(status);
+            consumers = List.copyOf(waitingConsumers);
+            waitingConsumers.clear();
         }
-        all.forEach(seen -> seen.accept(picture));
+        consumers.forEach(consumer -> consumer.accept(status));
     }
 }
--- a/src/test/java/cypressglade/control/ConsoleMeasure.java
+++ b/src/test/java/cypressglade/control/ConsoleMeasure.java
@@ -29,32 +29,35 @@
 import org.HdrHistogram.Recorder;
 
 /**
- * {@code make measure-console}: what consoles cost the requests, in slices with and without them in
- * turn, and how soon drains hold, at twice the normal load; 1 where a bound is missed.
+ * {@code make measure-console}: the effect of open consoles on request latency, in alternate slices
+ * with and without them, and the delay until a drain is in force, at twice the normal load. Exits
+ * with 1 if a bound is exceeded.
  */
 public final class ConsoleMeasure {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int NODES = 8;
-    private static final double PACE_MS = 1.5;
-    private static final int NORMAL_RATE = 200;
+    private static final double SERVICE_TIME_MS = 1.5;
+    private static final int NORMAL_REQUESTS_PER_SECOND = 200;
     private static final int CLIENTS = 40;
 
     /**
-     * What fits under a minute; the bound on p99 without allowance for noise takes the number it
-     * prints.
+     * Pairs of slices that fit under a minute. With these the bound on p99 allows for noise; the
+     * measurement prints the number of pairs that it takes without the allowance.
      */
-    private static final int PAIRS = 48;
+    private static final int DEFAULT_PAIRS = 48;
 
-    // Short, so that what drifts on the machine is the same in both of a pair.
+    // Short, so that drifts of the machine's speed affect both slices of a pair alike.
     private static final long SLICE_MS = 300;
     private static final long SETTLE_MS = 50;
-    private static final double BOUND = 0.02;
+    private static final double MAX_RELATIVE_CHANGE = 0.02;
     private static final int DRAINS = 100;
-    private static final long DRAINED_MS = 60;
+    private static final long DRAIN_MS = 60;
 
     private final Figures figures = new Figures();
     private final List<StorageNode> nodes =
-            IntStream.range(0, NODES).mapToObj(i -> new StorageNode(PACE_MS, false)).toList();
+            IntStream.range(0, NODES)
+                    .mapToObj(i -> new StorageNode(SERVICE_TIME_MS, false))
+                    .toList();
     private final int pairs;
     private final Recorder latency = new Recorder(3);
     private final ControlConfig config;
@@ -76,48 +79,48 @@
 
     public static void main(String[] args) throws Exception {
         ConsoleMeasure measure =
-                new ConsoleMeasure(args.length > 0 ? Integer.parseInt(args[0]) : PAIRS);
+                new ConsoleMeasure(args.length > 0 ? Integer.parseInt(args[0]) : DEFAULT_PAIRS);
         for (int i = 0; i < CLIENTS; i++) {
             int client = i;
             Thread thread = new Thread(() -> measure.ask(client), "client");
             thread.setDaemon(true);
             thread.start();
         }
-        Thread.sleep(3000); // what is compiled late would count against the first slices
+        Thread.sleep(3000); // warm-up: JIT compilation would slow the first slices
         measure.consoles();
         measure.drains();
         measure.figures.end();
     }
 
     /**
-     * One client on one connection, at its part of the rate: a reader late by itself starts the
-     * next at once.
+     * Sends requests on one connection at this client's share of the rate. After a late answer the
+     * next request starts at once.
      */
     private void ask(int client) {
-        long gap = 1_000_000_000L * CLIENTS / (2 * NORMAL_RATE);
-        long next = System.nanoTime() + gap * client / CLIENTS;
+        long intervalNanos = 1_000_000_000L * CLIENTS / (2 * NORMAL_REQUESTS_PER_SECOND);
+        long next = System.nanoTime() + intervalNanos * client / CLIENTS;
         try (Socket socket = site.connect()) {
             socket.setTcpNoDelay(true);
             DataInputStream in = new DataInputStream(socket.getInputStream());
             for (int i = 0; ; i++) {
                 LockSupport.parkNanos(next - System.nanoTime());
-                long asked = System.nanoTime();
+                long sentNanos = System.nanoTime();
                 String path = String.format("/job-read/%016x/%016x", client, i);
                 String cost = "units=2,shard=" + (client + i) % NODES + ",hosts=1";
                 String request = Site.request("GET", path, Site.headers(900, "standard", cost), "");
                 socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
                 if (HttpPeer.Message.read(in).status() == 200) {
-                    latency.recordValue((System.nanoTime() - asked) / 1000);
+                    latency.recordValue((System.nanoTime() - sentNanos) / 1000);
                 }
-                next = Math.max(next + gap, System.nanoTime());
+                next = Math.max(next + intervalNanos, System.nanoTime());
             }
         } catch (IOException ended) {
             throw new IllegalStateException(ended);
         }
     }
 
-    /** Three that watch, of which one never reads. */
-    private List<AutoCloseable> open() throws IOException {
+    /** Opens three watching consoles, one of which never reads. */
+    private List<AutoCloseable> openConsoles() throws IOException {
         List<AutoCloseable> consoles = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             ControlClient client = new ControlClient(config.socket());
@@ -145,7 +148,7 @@
         return consoles;
     }
 
-    private Histogram slice() throws InterruptedException {
+    private Histogram measureSlice() throws InterruptedException {
         Thread.sleep(SETTLE_MS);
         latency.getIntervalHistogram();
         Thread.sleep(SLICE_MS);
@@ -161,19 +164,19 @@
             Histogram with = null;
             Histogram without = null;
             for (int turn = 0; turn < 2; turn++) {
-                if ((i + turn) % 2
-                        == 0) { // which of a pair goes first changes, or a drift would count
-                    List<AutoCloseable> consoles = open();
-                    with = slice();
+                // Alternates the order within pairs, so that drifts cancel out.
+                if ((i + turn) % 2 == 0) {
+                    List<AutoCloseable> consoles = openConsoles();
+                    with = measureSlice();
                     for (AutoCloseable console : consoles) {
                         console.close();
                     }
                 } else {
-                    without = slice();
+                    without = measureSlice();
                 }
             }
-            p50[i] = change(with, without, 50);
-            p99[i] = change(with, without, 99);
+            p50[i] = relativeChange(with, without, 50);
+            p99[i] = relativeChange(with, without, 99);
             before = without;
             count += with.getTotalCount() + without.getTotalCount();
         }
@@ -181,16 +184,20 @@
         figures.say("requests_a_second", count * 1000.0 / (2 * pairs * SLICE_MS));
         figures.say("p50_ms", before.getValueAtPercentile(50) / 1e3);
         figures.say("p99_ms", before.getValueAtPercentile(99) / 1e3);
-        double noise = error(p99);
+        double noise = standardErrorOfMedian(p99);
         figures.say("p99_standard_error", noise);
         figures.say(
-                "pairs_that_the_noise_takes", Math.ceil(pairs * Math.pow(2 * noise / BOUND, 2)));
-        figures.atMost("console_p50_change", median(p50), BOUND);
-        figures.atMost("console_p99_change", median(p99), BOUND + (pairs > PAIRS ? 0 : 2 * noise));
+                "pairs_that_the_noise_takes",
+                Math.ceil(pairs * Math.pow(2 * noise / MAX_RELATIVE_CHANGE, 2)));
+        figures.atMost("console_p50_change", median(p50), MAX_RELATIVE_CHANGE);
+        figures.atMost(
+                "console_p99_change",
+                median(p99),
+                MAX_RELATIVE_CHANGE + (pairs > DEFAULT_PAIRS ? 0 : 2 * noise));
     }
 
-    /** Standard error of the median, by the median distance from it. */
-    private static double error(double[] values) {
+    /** Standard error of the median, estimated from the median absolute deviation. */
+    private static double standardErrorOfMedian(double[] values) {
         double middle = median(values);
         double deviation =
                 1.4826
@@ -201,7 +208,7 @@
         return 1.2533 * deviation / Math.sqrt(values.length);
     }
 
-    private static double change(Histogram with, Histogram without, double percent) {
+    private static double relativeChange(Histogram with, Histogram without, double percent) {
         return (double) with.getValueAtPercentile(percent) / without.getValueAtPercentile(percent)
                 - 1;
     }
@@ -236,11 +243,11 @@
     }
 
     /**
-     * Each node in turn, each drain given three times at once; what came at the node after the
-     * answer.
+     * Drains each node in turn, with each order sent three times at once, and measures how long
+     * after the answer requests still arrive at the node.
      */
     private void drains() throws Exception {
-        double worst = 0;
+        double worstMillis = 0;
         int twice = 0;
         int acted = 0;
         for (int i = 0; i < DRAINS; i++) {
@@ -259,11 +266,11 @@
             long answered = System.nanoTime();
             acted += times;
             twice += times > 1 ? 1 : 0;
-            Thread.sleep(DRAINED_MS);
+            Thread.sleep(DRAIN_MS);
             long until = System.nanoTime();
             for (Arrival arrival : nodes.get(node).arrivals) {
                 if (arrival.nanos() > answered && arrival.nanos() < until) {
-                    worst = Math.max(worst, (arrival.nanos() - answered) / 1e6);
+                    worstMillis = Math.max(worstMillis, (arrival.nanos() - answered) / 1e6);
                 }
             }
             acted("undrain", node, name + "u");
@@ -272,7 +279,7 @@
         }
         figures.say("drains", DRAINS);
         figures.hold("drains_acted", acted, DRAINS);
-        figures.atMost("drain_worst_ms", worst, 500);
+        figures.atMost("drain_worst_ms", worstMillis, 500);
         figures.atMost("drains_acted_twice", twice, 0);
     }
 }
--- a/src/test/java/cypressglade/control/ControlServiceTest.java
+++ b/src/test/java/cypressglade/control/ControlServiceTest.java
@@ -35,21 +35,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The control socket of a whole scheduler. */
+/** The control socket of a complete scheduler with two storage nodes. */
 class ControlServiceTest {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final CountDownLatch answerWrite = new CountDownLatch(1);
+    private final CountDownLatch writeMayFinish = new CountDownLatch(1);
     private final HttpPeer node =
             new HttpPeer(
                     (request, out) -> {
                         if (request.first().startsWith("PUT")) {
-                            answerWrite.await();
+                            writeMayFinish.await();
                         }
                         HttpPeer.answer(200, "", "the data").answer(request, out);
                     });
-    private final StorageNode other = new StorageNode(0, false);
-    private final List<AutoCloseable> open = new ArrayList<>(List.of(node, other));
+    private final StorageNode otherNode = new StorageNode(0, false);
+    private final List<AutoCloseable> open = new ArrayList<>(List.of(node, otherNode));
     @TempDir private Path directory;
     private ControlConfig config;
     private Site site;
@@ -64,7 +64,7 @@
     private Site site() throws Exception {
         Site fresh =
                 new Site(
-                        List.of(node.hostPort(), other.hostPort()),
+                        List.of(node.hostPort(), otherNode.hostPort()),
                         new OperatorFiles(Optional.empty(), Optional.empty(), Optional.of(config)));
         open.add(fresh);
         return fresh;
@@ -72,7 +72,7 @@
 
     @AfterEach
     void close() throws Exception {
-        answerWrite.countDown();
+        writeMayFinish.countDown();
         for (int i = open.size() - 1; i >= 0; i--) {
             open.get(i).close();
         }
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void viewShowsNodesQueuesAndWhatWasGivenUp() throws Exception {
+    void viewShowsNodesQueuesAndRejections() throws Exception {
         assertThat(ask("GET")).isEqualTo(200);
         JsonNode view = call("view", Map.of());
         assertThat(view.path("nodes").findValuesAsText("id")).containsExactly("s-0", "s-1");
@@ -124,10 +124,11 @@
     }
 
     /**
-     * A write that runs ends where it runs, nothing new starts, and nothing of it goes elsewhere.
+     * A running write ends at its node, no new request starts there, and the write is not sent to
+     * another node.
      */
     @Test
-    void drainLetsWritesEndAndStartsNothingNew() throws Exception {
+    void drainLetsRunningWritesEndAndStartsNoNewRequests() throws Exception {
         CompletableFuture<Integer> write =
                 CompletableFuture.supplyAsync(
                         () -> {
@@ -143,7 +144,7 @@
         assertThat(call("view", Map.of()).path("nodes").findValuesAsText("state"))
                 .contains("drained by hand");
         assertThat(events().findValuesAsText("event")).doesNotContain("drain.done");
-        answerWrite.countDown();
+        writeMayFinish.countDown();
         assertThat(write.get()).isEqualTo(200);
         Site.await(
                 () -> {
@@ -156,19 +157,19 @@
         assertThat(call("view", Map.of()).path("nodes").findValuesAsText("state"))
                 .contains("drained by hand");
         assertThat(node.requests).hasSize(1);
-        assertThat(other.arrivals).isEmpty();
+        assertThat(otherNode.arrivals).isEmpty();
     }
 
     /**
-     * Typed twice, from two consoles at once, replayed, and given again after a restart: it acts
-     * once.
+     * A drain acts once when it is ordered by several consoles at once, replayed, and ordered again
+     * after a restart.
      */
     @Test
-    void drainActsOnceAndOutlivesARestartAndWhatDiscoverySays() throws Exception {
-        List<CompletableFuture<Boolean>> both = new ArrayList<>();
+    void drainActsOnceAndOutlastsARestartAndDiscoveryUpdates() throws Exception {
+        List<CompletableFuture<Boolean>> outcomes = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             String command = "c" + i % 4;
-            both.add(
+            outcomes.add(
                     CompletableFuture.supplyAsync(
                             () -> {
                                 try {
@@ -178,7 +179,7 @@
                                 }
                             }));
         }
-        assertThat(both.stream().filter(CompletableFuture::join).count()).isEqualTo(1);
+        assertThat(outcomes.stream().filter(CompletableFuture::join).count()).isEqualTo(1);
         site.tell(42, 0, node.hostPort(), "active");
         assertThat(ask("GET")).isEqualTo(503);
         open.remove(site);
@@ -186,14 +187,15 @@
         site = site();
         assertThat(drain("again").path("acted").asBoolean()).isFalse();
         assertThat(ask("GET")).isEqualTo(503);
-        JsonNode kept = call("view", Map.of()).path("drains").path(0);
-        assertThat(kept.path("who").asText() + kept.path("why").asText()).isEqualTo("anndisk");
+        JsonNode restored = call("view", Map.of()).path("drains").path(0);
+        assertThat(restored.path("who").asText() + restored.path("why").asText())
+                .isEqualTo("anndisk");
         assertThat(call("undrain", Map.of("node", "s-0")).path("acted").asBoolean()).isTrue();
         assertThat(ask("GET")).isEqualTo(200);
     }
 
     @Test
-    void drainThatCannotBeKeptHoldsAndSaysSo() throws Exception {
+    void drainThatCannotBeStoredIsInForceAndReportedAsNotDurable() throws Exception {
         Files.createDirectory(directory.resolve("drains.snap.tmp"));
         JsonNode answer = drain("one");
         assertThat(answer.path("acted").asBoolean()).isTrue();
@@ -209,7 +211,7 @@
                 "drain|{\"node\":\"s-1\"}|alone holds shard 1",
                 "fly|{}|is not known here"
             })
-    void ordersThatCannotBeCarriedOutSayWhatToDo(String row) throws Exception {
+    void refusedOrdersCarryAnErrorAndARemedy(String row) throws Exception {
         String[] parts = row.split("\\|");
         JsonNode answer =
                 call(
@@ -232,7 +234,7 @@
                 channel.write(out);
             }
         } catch (IOException closed) {
-            // the other side has had enough; what it said can be read
+            // the server closed the connection; its answer can still be read
         }
         return channel;
     }
@@ -261,23 +263,23 @@
                 "{\"v\":1,\"do\":\"view\"} {}\n",
                 "\u0000\u0001\n"
             })
-    void badLinesAreRefusedAndEndTheirConnectionOnly(String line) throws Exception {
+    void malformedLinesCloseOnlyTheirOwnConnection(String line) throws Exception {
         assertThat(readToEnd(raw(line))).contains("\"ok\":false").contains("\"remedy\"");
         assertThat(call("view", Map.of()).path("ok").asBoolean()).isTrue();
     }
 
     @Test
-    void endlessLinesAreCutOffAtTheBound() throws Exception {
+    void linesOverTheBoundAreRefused() throws Exception {
         assertThat(readToEnd(raw("x".repeat(200_000)))).contains("is over");
         assertThat(call("view", Map.of()).path("ok").asBoolean()).isTrue();
     }
 
     /**
-     * Guards against memory held for clients that do not read, and against requests that wait for
-     * them.
+     * Clients that stop reading must neither make the server buffer without bound nor delay other
+     * clients and requests.
      */
     @Test
-    void clientsThatStopReadingLoseFramesOrTheirConnection() throws Exception {
+    void clientsThatStopReadingDoNotDelayOthers() throws Exception {
         raw("{\"v\":1,\"do\":\"watch\"}\n");
         raw("{\"v\":1,\"do\":\"view\"}\n".repeat(3000));
         try (ControlClient reads = new ControlClient(config.socket())) {
@@ -290,7 +292,7 @@
     }
 
     @Test
-    void ninthClientIsToldThatThereIsNoRoom() throws Exception {
+    void ninthClientIsRefused() throws Exception {
         for (int i = 0; i < 8; i++) {
             ControlClient client = new ControlClient(config.socket());
             open.add(client);
@@ -300,7 +302,7 @@
     }
 
     @Test
-    void liveSocketIsLeftAloneAStaleOneTakenOverAndAnOpenDirectoryRefused() throws Exception {
+    void liveSocketIsKeptStaleSocketReplacedAndOpenDirectoryRefused() throws Exception {
         assertThat(Files.getPosixFilePermissions(config.socket())).hasSize(2);
         assertThatThrownBy(this::site)
                 .isInstanceOf(IOException.class)
@@ -311,7 +313,7 @@
         ServerSocketChannel dead =
                 ServerSocketChannel.open(java.net.StandardProtocolFamily.UNIX)
                         .bind(UnixDomainSocketAddress.of(config.socket()));
-        dead.close(); // the file stays, as after a kill
+        dead.close(); // the socket file stays, as after a kill
         assertThat(config.socket()).exists();
         site = site();
         assertThat(call("view", Map.of()).path("ok").asBoolean()).isTrue();
@@ -323,9 +325,9 @@
                 .hasMessageContaining("chmod 700");
     }
 
-    /** Guards against a client that holds a place with half a line; the clock is the test's. */
+    /** A client must not keep its connection with an incomplete line; the test sets the clock. */
     @Test
-    void halfALineIsWaitedForForABoundedTime() throws Exception {
+    void incompleteLineEndsTheConnectionAfterABoundedTime() throws Exception {
         ControlConfig own =
                 new ControlConfig(
                         Files.createDirectory(
--- a/src/test/java/cypressglade/operate/ManualDrainsTest.java
+++ b/src/test/java/cypressglade/operate/ManualDrainsTest.java
@@ -22,38 +22,40 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Drains by hand: they act once, hold against the sources, and end with the run that they were for.
+ * Manual drains: an order acts once, overrides the announced node state, and ends with the run of
+ * the node that it was for.
  */
 class ManualDrainsTest {
     private static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
-    private static final InetSocketAddress AT = new InetSocketAddress("127.0.0.1", 1);
+    private static final InetSocketAddress ADDRESS = new InetSocketAddress("127.0.0.1", 1);
 
-    /** What the module and the directory hold, made of what was handed on. */
-    private final Map<String, State> seen = new LinkedHashMap<>();
+    /** The node states that the policy and the directory see, from the published lists. */
+    private final Map<String, State> effectiveStates = new LinkedHashMap<>();
 
-    private int handedOn;
+    private int publishedLists;
     private int orders;
     private final ManualDrains drains =
             new ManualDrains(
                     list -> {
-                        handedOn++;
+                        publishedLists++;
                         if (list.full()) {
-                            seen.clear();
+                            effectiveStates.clear();
                         }
-                        list.entries().forEach(entry -> seen.put(entry.id(), entry.state()));
-                        seen.values().removeIf(state -> state == State.GONE);
+                        list.entries()
+                                .forEach(entry -> effectiveStates.put(entry.id(), entry.state()));
+                        effectiveStates.values().removeIf(state -> state == State.GONE);
                     });
 
-    private static Entry entry(String id, int cell, State state, long startedS) {
-        return new Entry(id, AT, 0, 0, cell, state, 1, Instant.ofEpochSecond(startedS));
+    private static Entry entry(String id, int shard, State state, long startedS) {
+        return new Entry(id, ADDRESS, 0, 0, shard, state, 1, Instant.ofEpochSecond(startedS));
     }
 
-    private void tell(boolean full, Entry... entries) {
+    private void announce(boolean full, Entry... entries) {
         drains.updateNodes(new NodeList(1, full, List.of(entries)));
     }
 
-    private void start() {
-        tell(
+    private void announceThreeNodes() {
+        announce(
                 true,
                 entry("s-1", 0, State.READY, 5),
                 entry("s-2", 0, State.READY, 5),
@@ -69,18 +71,18 @@
     }
 
     @Test
-    void drainTypedTwiceOrReplayedActsOnce() {
-        start();
+    void repeatedOrReplayedDrainActsOnce() {
+        announceThreeNodes();
         Order order = order("s-1", false);
         assertThat(drains.drain(order, NOW).kind()).isEqualTo(Kind.DONE);
-        int before = handedOn;
+        int before = publishedLists;
         assertThat(drains.drain(order, NOW).kind()).isEqualTo(Kind.ALREADY);
         assertThat(drain("s-1")).isEqualTo(Kind.ALREADY);
         assertThat(drains.undrain(order("s-1", false)).kind()).isEqualTo(Kind.DONE);
         assertThat(drains.drain(order, NOW).kind())
-                .isEqualTo(Kind.ALREADY); // replayed after it was taken back
-        assertThat(handedOn).isEqualTo(before + 1);
-        assertThat(seen).containsEntry("s-1", State.READY);
+                .isEqualTo(Kind.ALREADY); // replayed after the undrain
+        assertThat(publishedLists).isEqualTo(before + 1);
+        assertThat(effectiveStates).containsEntry("s-1", State.READY);
     }
 
     @ParameterizedTest
@@ -91,8 +93,8 @@
         "'', UNKNOWN_NODE, ''",
         "s-1, DONE, s-1"
     })
-    void nodesAreNamedByIdOrByABeginningThatFitsOne(String name, Kind kind, String node) {
-        start();
+    void nodesAreFoundByIdOrUniquePrefix(String name, Kind kind, String node) {
+        announceThreeNodes();
         ManualDrains.Result result = drains.drain(order(name, true), NOW);
         assertThat(result.kind()).isEqualTo(kind);
         assertThat(result.node()).isEqualTo(node);
@@ -100,19 +102,19 @@
     }
 
     @Test
-    void onlyNodeOfAShardAsksForForce() {
-        start();
+    void onlyReadyNodeOfAShardIsDrainedOnlyByForce() {
+        announceThreeNodes();
         assertThat(drains.drain(order("s-30", false), NOW))
                 .isEqualTo(new ManualDrains.Result(Kind.ONLY_NODE, "s-30", List.of("1")));
-        assertThat(seen).containsEntry("s-30", State.READY);
+        assertThat(effectiveStates).containsEntry("s-30", State.READY);
         assertThat(drain("s-1")).isEqualTo(Kind.DONE);
         assertThat(drain("s-2")).isEqualTo(Kind.ONLY_NODE); // the other one is drained already
         assertThat(drains.drain(order("s-2", true), NOW).kind()).isEqualTo(Kind.DONE);
     }
 
     /**
-     * Whatever the sources tell after: the state of s-1 as the module sees it, and whether the
-     * drain still holds.
+     * A row: the state and start of s-1 that a source announces after the drain, the state that the
+     * policy sees, and whether the drain is still in force.
      */
     @ParameterizedTest
     @CsvSource({
@@ -122,71 +124,70 @@
         "GONE, 5, , false",
         "READY, 4, DRAINING, true"
     })
-    void drainHoldsForItsRunWhateverTheSourcesSay(
-            State told, long startedS, State state, boolean holds) {
-        start();
+    void drainAppliesToItsRunWhateverStateIsAnnounced(
+            State announced, long startedS, State state, boolean holds) {
+        announceThreeNodes();
         drain("s-1");
         for (boolean full : new boolean[] {false, true}) {
-            tell(full, entry("s-1", 0, told, startedS), entry("s-2", 0, State.READY, 5));
-            assertThat(seen.get("s-1")).isEqualTo(state);
+            announce(full, entry("s-1", 0, announced, startedS), entry("s-2", 0, State.READY, 5));
+            assertThat(effectiveStates.get("s-1")).isEqualTo(state);
             assertThat(drains.list()).hasSize(holds ? 1 : 0);
         }
-        tell(false, entry("s-9", 0, State.READY, 9));
-        assertThat(seen).containsEntry("s-9", State.READY);
+        announce(false, entry("s-9", 0, State.READY, 9));
+        assertThat(effectiveStates).containsEntry("s-9", State.READY);
     }
 
     @Test
-    void drainsOutliveARestartAndShowWhatTheSourcesSayOnceTakenBack() {
+    void restoredDrainsApplyAndUndrainRestoresTheAnnouncedState() {
         drains.restoreDrains(
                 List.of(
                         new ManualDrain("s-1", Instant.ofEpochSecond(5), "ann", NOW, "disk", true),
                         new ManualDrain("s-8", Instant.ofEpochSecond(5), "ann", NOW, "", true),
                         new ManualDrain("s-9", Instant.ofEpochSecond(5), "ann", NOW, "", true)));
-        start(); // a list that does not know s-8 and s-9 yet
-        assertThat(seen).containsEntry("s-1", State.DRAINING);
+        announceThreeNodes(); // a list without s-8 and s-9
+        assertThat(effectiveStates).containsEntry("s-1", State.DRAINING);
         assertThat(drains.list()).hasSize(3);
         assertThat(drains.undrain(order("s-9", false)).kind()).isEqualTo(Kind.DONE);
-        tell(false, entry("s-8", 1, State.READY, 5));
-        assertThat(seen).containsEntry("s-8", State.DRAINING);
-        tell(false, entry("s-8", 1, State.GONE, 5));
+        announce(false, entry("s-8", 1, State.READY, 5));
+        assertThat(effectiveStates).containsEntry("s-8", State.DRAINING);
+        announce(false, entry("s-8", 1, State.GONE, 5));
         assertThat(drains.list()).extracting(ManualDrain::node).containsExactly("s-1");
         assertThat(drain("s-1")).isEqualTo(Kind.ALREADY);
-        tell(false, entry("s-1", 0, State.DRAINING, 5));
+        announce(false, entry("s-1", 0, State.DRAINING, 5));
         drains.undrain(order("s-1", false));
-        assertThat(seen).containsEntry("s-1", State.DRAINING);
+        assertThat(effectiveStates).containsEntry("s-1", State.DRAINING);
         assertThat(drains.undrain(order("s-1", false)).kind()).isEqualTo(Kind.ALREADY);
     }
 
-    private static NodeStatus fact(String id, double outUnits, int held) {
+    private static NodeStatus nodeStatus(String id, double units, int queued) {
         return new NodeStatus(
                 new NodeDirectory.ListedNode(
-                        id, AT, 0, State.DRAINING, Instant.EPOCH, Instant.EPOCH),
+                        id, ADDRESS, 0, State.DRAINING, Instant.EPOCH, Instant.EPOCH),
                 new NodeView(
-                        1, 0, false, false, false, 0, 1, 0, 0, 0, 0, -1, -1, outUnits, 0, held, 0));
+                        1, 0, false, false, false, 0, 1, 0, 0, 0, 0, -1, -1, units, 0, queued, 0));
     }
 
     @Test
-    void drainIsDoneWhenNothingRunsThereAnyMoreAndThatIsToldOnce() {
-        start();
+    void drainIsReportedDoneOnceWhenNothingIsInFlightOrQueued() {
+        announceThreeNodes();
         drain("s-1");
-        assertThat(drains.markFinishedDrains(List.of(fact("s-1", 2, 0), fact("s-2", 0, 0))))
+        assertThat(
+                        drains.markFinishedDrains(
+                                List.of(nodeStatus("s-1", 2, 0), nodeStatus("s-2", 0, 0))))
                 .isEmpty();
-        assertThat(drains.markFinishedDrains(List.of(fact("s-1", 0, 1)))).isEmpty();
-        assertThat(drains.markFinishedDrains(List.of(fact("s-1", 0, 0))))
+        assertThat(drains.markFinishedDrains(List.of(nodeStatus("s-1", 0, 1)))).isEmpty();
+        assertThat(drains.markFinishedDrains(List.of(nodeStatus("s-1", 0, 0))))
                 .extracting(ManualDrain::node)
                 .containsExactly("s-1");
         assertThat(drains.markFinishedDrains(List.of())).isEmpty();
         assertThat(drains.list()).allMatch(ManualDrain::done);
     }
 
-    /**
-     * However lists and orders mix: what the module sees is the list as told, with what is drained
-     * by hand.
-     */
+    /** In any order of lists and orders, the policy sees the announced list with drained nodes. */
     @Test
-    void moduleSeesTheListAsToldUnderTheDrains() {
+    void effectiveListIsTheAnnouncedOneWithDrainedNodes() {
         SplittableRandom random = new SplittableRandom(9);
-        Map<String, Entry> told = new LinkedHashMap<>();
+        Map<String, Entry> announced = new LinkedHashMap<>();
         for (int i = 0; i < 5000; i++) {
             String id = "n" + random.nextInt(6);
             switch (random.nextInt(4)) {
@@ -195,65 +196,73 @@
                 default -> {
                     Entry entry =
                             entry(id, 0, State.values()[random.nextInt(3)], random.nextInt(3));
-                    told.put(id, entry);
+                    announced.put(id, entry);
                     if (entry.state() == State.GONE) {
-                        told.remove(id);
+                        announced.remove(id);
                     }
-                    tell(false, entry);
+                    announce(false, entry);
                 }
             }
-            List<String> held =
+            List<String> drained =
                     new ArrayList<>(drains.list().stream().map(ManualDrain::node).toList());
-            assertThat(seen.keySet()).containsExactlyInAnyOrderElementsOf(told.keySet());
-            told.forEach(
+            assertThat(effectiveStates.keySet())
+                    .containsExactlyInAnyOrderElementsOf(announced.keySet());
+            announced.forEach(
                     (name, entry) ->
-                            assertThat(seen.get(name))
+                            assertThat(effectiveStates.get(name))
                                     .isEqualTo(
-                                            held.contains(name) ? State.DRAINING : entry.state()));
+                                            drained.contains(name)
+                                                    ? State.DRAINING
+                                                    : entry.state()));
         }
     }
 
-    /** What is decided here is told in words that another takes, also before it knows the node. */
+    /** Another instance can apply the announced decisions, also before the node is listed there. */
     @Test
-    void decisionsOfOneHoldAtAnother() {
-        List<String[]> told = new ArrayList<>();
-        ManualDrains there =
+    void decisionsOfOneInstanceApplyAtAnother() {
+        List<String[]> announced = new ArrayList<>();
+        ManualDrains otherInstance =
                 new ManualDrains(
-                        list -> {}, (subject, word) -> told.add(new String[] {subject, word}));
-        there.updateNodes(
+                        list -> {},
+                        (subject, decision) -> announced.add(new String[] {subject, decision}));
+        otherInstance.updateNodes(
                 new NodeList(
                         1,
                         true,
                         List.of(entry("s-1", 0, State.READY, 5), entry("s-2", 0, State.READY, 5))));
-        there.exclude("s-1");
-        there.drain(order("s-2", true), NOW);
-        assertThat(there.exclude("s-9").kind()).isEqualTo(Kind.UNKNOWN_NODE);
-        assertThat(told)
+        otherInstance.exclude("s-1");
+        otherInstance.drain(order("s-2", true), NOW);
+        assertThat(otherInstance.exclude("s-9").kind()).isEqualTo(Kind.UNKNOWN_NODE);
+        assertThat(announced)
                 .hasSize(2)
                 .allSatisfy(
                         one ->
                                 assertThat(drains.applyDecision(one[0], one[1], "m-1", NOW))
                                         .isTrue());
-        start();
-        assertThat(seen).containsEntry("s-1", State.DRAINING).containsEntry("s-2", State.DRAINING);
-        told.clear();
-        there.include("s-1");
-        there.undrain(order("s-2", false));
-        assertThat(told)
+        announceThreeNodes();
+        assertThat(effectiveStates)
+                .containsEntry("s-1", State.DRAINING)
+                .containsEntry("s-2", State.DRAINING);
+        announced.clear();
+        otherInstance.include("s-1");
+        otherInstance.undrain(order("s-2", false));
+        assertThat(announced)
                 .hasSize(2)
                 .allSatisfy(
                         one ->
                                 assertThat(drains.applyDecision(one[0], one[1], "m-1", NOW))
                                         .isTrue());
-        assertThat(seen).containsEntry("s-1", State.READY).containsEntry("s-2", State.READY);
+        assertThat(effectiveStates)
+                .containsEntry("s-1", State.READY)
+                .containsEntry("s-2", State.READY);
     }
 
     @Test
-    void aRuledDrainOfARunThatIsOverAndWhatIsNotAboutNodesChangeNothing() {
-        start();
+    void receivedDrainOfAnEndedRunAndOtherDecisionsChangeNothing() {
+        announceThreeNodes();
         assertThat(drains.applyDecision("drain s-1", "drain 4000", "m-1", NOW)).isTrue();
         assertThat(drains.applyDecision("member m-1", "evacuate", "m-1", NOW)).isFalse();
         assertThat(drains.applyDecision("drain s-1", "drain x", "m-1", NOW)).isFalse();
-        assertThat(seen).containsEntry("s-1", State.READY);
+        assertThat(effectiveStates).containsEntry("s-1", State.READY);
     }
 }
--- a/src/test/java/cypressglade/operate/OperatorProtocolTest.java
+++ b/src/test/java/cypressglade/operate/OperatorProtocolTest.java
@@ -14,32 +14,33 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The operators' door: bans by exact id that hold over restarts and lists, and calls that are read
- * strictly.
+ * The commands of the operator port: bans by exact id, which outlast restarts of the node and new
+ * node lists, and strict parsing.
  */
 class OperatorProtocolTest {
-    private static final InetSocketAddress AT = new InetSocketAddress("127.0.0.1", 1);
+    private static final InetSocketAddress ADDRESS = new InetSocketAddress("127.0.0.1", 1);
 
-    private final Map<String, State> seen = new LinkedHashMap<>();
+    private final Map<String, State> effectiveStates = new LinkedHashMap<>();
     private final ManualDrains drains =
             new ManualDrains(
                     list -> {
                         if (list.full()) {
-                            seen.clear();
+                            effectiveStates.clear();
                         }
-                        list.entries().forEach(entry -> seen.put(entry.id(), entry.state()));
-                        seen.values().removeIf(state -> state == State.GONE);
+                        list.entries()
+                                .forEach(entry -> effectiveStates.put(entry.id(), entry.state()));
+                        effectiveStates.values().removeIf(state -> state == State.GONE);
                     });
-    private boolean started;
+    private boolean takesClients;
     private int evacuations;
     private int activations;
     private Optional<String> fleet = Optional.empty();
-    private final OperatorProtocol door =
+    private final OperatorProtocol protocol =
             new OperatorProtocol(
                     new OperatorProtocol.Actions() {
                         @Override
                         public boolean takesClients() {
-                            return started;
+                            return takesClients;
                         }
 
                         @Override
@@ -69,70 +70,76 @@
                     });
 
     private static Entry entry(String id, State state, long startedS) {
-        return new Entry(id, AT, 0, 0, 0, state, 1, Instant.ofEpochSecond(startedS));
+        return new Entry(id, ADDRESS, 0, 0, 0, state, 1, Instant.ofEpochSecond(startedS));
     }
 
-    private void tell(boolean full, Entry... entries) {
+    private void announce(boolean full, Entry... entries) {
         drains.updateNodes(new NodeList(1, full, List.of(entries)));
     }
 
     @Test
-    void anUnknownIdIsRefusedAndChangesNothing() {
-        tell(true, entry("s-1", State.READY, 5), entry("s-2", State.READY, 5));
-        assertThat(door.answer("exclude s-9")).startsWith("400 ").contains("s-1 s-2");
-        assertThat(door.answer("exclude s")).as("no prefixes at this door").startsWith("400 ");
-        assertThat(door.answer("include s-9")).startsWith("400 ");
+    void unknownIdIsRefusedWithoutEffect() {
+        announce(true, entry("s-1", State.READY, 5), entry("s-2", State.READY, 5));
+        assertThat(protocol.answer("exclude s-9")).startsWith("400 ").contains("s-1 s-2");
+        assertThat(protocol.answer("exclude s"))
+                .as("no prefixes at the operator port")
+                .startsWith("400 ");
+        assertThat(protocol.answer("include s-9")).startsWith("400 ");
         assertThat(drains.bans()).isEmpty();
-        assertThat(seen).containsEntry("s-1", State.READY).containsEntry("s-2", State.READY);
+        assertThat(effectiveStates)
+                .containsEntry("s-1", State.READY)
+                .containsEntry("s-2", State.READY);
     }
 
     @Test
-    void theFleetIsToldWhereAViewIsKept() {
-        assertThat(door.answer("fleet")).startsWith("400 no fleet view").contains("\"view\": true");
+    void fleetAnswersWithTheViewIfOneIsKept() {
+        assertThat(protocol.answer("fleet"))
+                .startsWith("400 no fleet view")
+                .contains("\"view\": true");
         fleet = Optional.of("{\"fleet\":\"view\"}");
-        assertThat(door.answer("fleet")).isEqualTo("200 {\"fleet\":\"view\"}");
-        assertThat(door.answer("fleet now")).startsWith("400 unknown call");
+        assertThat(protocol.answer("fleet")).isEqualTo("200 {\"fleet\":\"view\"}");
+        assertThat(protocol.answer("fleet now")).startsWith("400 unknown call");
     }
 
     @Test
-    void twoExcludesAreUndoneByOneInclude() {
-        tell(true, entry("s-1", State.READY, 5), entry("s-2", State.READY, 5));
-        assertThat(door.answer("exclude s-1")).isEqualTo("200 excluded s-1");
-        assertThat(seen).containsEntry("s-1", State.DRAINING);
-        assertThat(door.answer("exclude s-1")).startsWith("200 excluded s-1");
-        assertThat(door.answer("include s-1")).isEqualTo("200 included s-1");
-        assertThat(seen).containsEntry("s-1", State.READY);
+    void oneIncludeRemovesARepeatedExclude() {
+        announce(true, entry("s-1", State.READY, 5), entry("s-2", State.READY, 5));
+        assertThat(protocol.answer("exclude s-1")).isEqualTo("200 excluded s-1");
+        assertThat(effectiveStates).containsEntry("s-1", State.DRAINING);
+        assertThat(protocol.answer("exclude s-1")).startsWith("200 excluded s-1");
+        assertThat(protocol.answer("include s-1")).isEqualTo("200 included s-1");
+        assertThat(effectiveStates).containsEntry("s-1", State.READY);
         assertThat(drains.bans()).isEmpty();
     }
 
     @Test
-    void aBanHoldsOverTheNodesRestartAndAbsence() {
-        tell(true, entry("s-1", State.READY, 5), entry("s-2", State.READY, 5));
-        door.answer("exclude s-1");
-        tell(false, entry("s-1", State.GONE, 5));
-        assertThat(door.answer("exclude s-1"))
-                .as("the second call while it is away")
+    void banOutlastsTheNodesRestartAndAbsence() {
+        announce(true, entry("s-1", State.READY, 5), entry("s-2", State.READY, 5));
+        protocol.answer("exclude s-1");
+        announce(false, entry("s-1", State.GONE, 5));
+        assertThat(protocol.answer("exclude s-1"))
+                .as("the second call while the node is absent")
                 .startsWith("200 ");
-        tell(true, entry("s-1", State.READY, 9), entry("s-2", State.READY, 5));
-        assertThat(seen)
-                .as("back cold with a later start, still out")
+        announce(true, entry("s-1", State.READY, 9), entry("s-2", State.READY, 5));
+        assertThat(effectiveStates)
+                .as("back cold with a later start, still excluded")
                 .containsEntry("s-1", State.DRAINING);
-        door.answer("include s-1");
-        assertThat(seen).containsEntry("s-1", State.READY);
+        protocol.answer("include s-1");
+        assertThat(effectiveStates).containsEntry("s-1", State.READY);
     }
 
     @Test
-    void callsAreReadStrictly() {
-        assertThat(door.answer("readyz")).startsWith("400 ");
-        started = true;
-        assertThat(door.answer("readyz")).startsWith("200 ");
-        assertThat(door.answer(" READYZ ")).startsWith("200 ");
-        assertThat(door.answer("exclude")).startsWith("400 ").contains("exclude ID");
-        assertThat(door.answer("exclude a b")).startsWith("400 ");
-        assertThat(door.answer("reboot")).startsWith("400 unknown call");
-        assertThat(door.answer("")).startsWith("400 ");
-        assertThat(door.answer("evacuate")).startsWith("200 ");
-        assertThat(door.answer("activate")).startsWith("200 ");
+    void commandsAreParsedStrictly() {
+        assertThat(protocol.answer("readyz")).startsWith("400 ");
+        takesClients = true;
+        assertThat(protocol.answer("readyz")).startsWith("200 ");
+        assertThat(protocol.answer(" READYZ ")).startsWith("200 ");
+        assertThat(protocol.answer("exclude")).startsWith("400 ").contains("exclude ID");
+        assertThat(protocol.answer("exclude a b")).startsWith("400 ");
+        assertThat(protocol.answer("reboot")).startsWith("400 unknown call");
+        assertThat(protocol.answer("")).startsWith("400 ");
+        assertThat(protocol.answer("evacuate")).startsWith("200 ");
+        assertThat(protocol.answer("activate")).startsWith("200 ");
         assertThat(evacuations).isEqualTo(1);
         assertThat(activations).isEqualTo(1);
     }
