--- a/src/main/java/cypressglade/cli/BanFile.java
+++ b/src/main/java/cypressglade/cli/BanFile.java
@@ -41,7 +41,7 @@
      * Takes the bans that were kept; where the disk does not give them, {@link #look} does later.
      */
     void restore() {
-        List<SnapshotStore.Found> found = store.read(Instant.now(), SnapshotStore.ANY_AGE);
+        List<SnapshotStore.SnapshotFile> found = store.read(Instant.now(), SnapshotStore.ANY_AGE);
         boolean unreadable =
                 found.stream().anyMatch(one -> one.fault() == SnapshotStore.Fault.UNREADABLE);
         found.stream()
@@ -116,7 +116,7 @@
                         });
     }
 
-    private static List<String> ids(SnapshotStore.Found found) {
+    private static List<String> ids(SnapshotStore.SnapshotFile found) {
         String text = new String(found.body(), StandardCharsets.UTF_8);
         return Arrays.stream(text.split("\n")).filter(id -> !id.isBlank()).toList();
     }
--- a/src/main/java/cypressglade/cli/DoubtFile.java
+++ b/src/main/java/cypressglade/cli/DoubtFile.java
@@ -36,10 +36,10 @@
     void open(Engine engine) {
         boolean first = store.read(Instant.now(), SnapshotStore.ANY_AGE).isEmpty();
         Optional<byte[]> former =
-                store.newest(
+                store.readNewest(
                                 Instant.now(),
                                 SnapshotStore.ANY_AGE,
-                                SnapshotStore.Found::body,
+                                SnapshotStore.SnapshotFile::body,
                                 (found, why) ->
                                         LOG.log(
                                                 Level.WARNING,
--- a/src/main/java/cypressglade/control/Control.java
+++ b/src/main/java/cypressglade/control/Control.java
@@ -84,7 +84,7 @@
     }
 
     private void recall() {
-        for (SnapshotStore.Found found : store.read(Instant.now(), ANY_AGE)) {
+        for (SnapshotStore.SnapshotFile found : store.read(Instant.now(), ANY_AGE)) {
             try {
                 if (found.fault() == SnapshotStore.Fault.NONE) {
                     drains.restore(DrainFile.parse(found.body()));
--- a/src/main/java/cypressglade/peer/Peers.java
+++ b/src/main/java/cypressglade/peer/Peers.java
@@ -807,7 +807,7 @@
     private List<Verdict> recallVerdicts() {
         return verdicts.flatMap(
                         file ->
-                                file.newest(
+                                file.readNewest(
                                         Instant.now(),
                                         SnapshotStore.ANY_AGE,
                                         found -> Codec.verdicts(found.body()),
@@ -815,7 +815,7 @@
                 .orElse(List.of());
     }
 
-    private void ignored(SnapshotStore.Found found, String fault) {
+    private void ignored(SnapshotStore.SnapshotFile found, String fault) {
         counters.add(Name.SNAPSHOTS_IGNORED);
         LOG.log(Level.WARNING, "{0} is ignored: {1}", found.file(), fault);
     }
@@ -892,7 +892,7 @@
     private void recall() {
         store.flatMap(
                         file ->
-                                file.newest(
+                                file.readNewest(
                                         Instant.now(),
                                         config.snapshots().get().mostAge(),
                                         this::words,
@@ -900,7 +900,7 @@
                 .ifPresent(words -> learner.receive(words, MonotonicClock.now()));
     }
 
-    private List<NodeObservation> words(SnapshotStore.Found found) throws IOException {
+    private List<NodeObservation> words(SnapshotStore.SnapshotFile found) throws IOException {
         return Codec.snapshot(found.body(), config.name(), found.age(), MonotonicClock.now())
                 .orElseThrow(() -> new IOException("another instance's"));
     }
--- a/src/main/java/cypressglade/snapshot/SnapshotStore.java
+++ b/src/main/java/cypressglade/snapshot/SnapshotStore.java
@@ -67,14 +67,14 @@
      * @param age by the wall clock, never negative
      * @param body what was written; empty where there is a fault
      */
-    public record Found(Path file, Fault fault, Duration age, byte[] body) {}
+    public record SnapshotFile(Path file, Fault fault, Duration age, byte[] body) {}
 
     /** Makes a state of a body. */
     public interface Reader<T> {
         /**
          * @throws IOException where it cannot; its message says why
          */
-        T read(Found found) throws IOException;
+        T read(SnapshotFile found) throws IOException;
     }
 
     public SnapshotStore(Path directory, String name) {
@@ -125,24 +125,27 @@
     }
 
     /** The generations that are there, the newest first, each judged by itself. */
-    public List<Found> read(Instant wall, Duration mostAge) {
-        List<Found> found = new ArrayList<>();
+    public List<SnapshotFile> read(Instant wall, Duration mostAge) {
+        List<SnapshotFile> found = new ArrayList<>();
         for (Path file : List.of(current, before)) {
             try {
                 found.add(judge(file, bytes(file), wall, mostAge));
             } catch (NoSuchFileException none) {
                 continue; // the first start, or a stop between two renames
             } catch (IOException unreadable) {
-                found.add(new Found(file, Fault.UNREADABLE, Duration.ZERO, new byte[0]));
+                found.add(new SnapshotFile(file, Fault.UNREADABLE, Duration.ZERO, new byte[0]));
             }
         }
         return found;
     }
 
     /** The newest generation that can be read; {@code ignored} hears of each before it, and why. */
-    public <T> Optional<T> newest(
-            Instant wall, Duration mostAge, Reader<T> reader, BiConsumer<Found, String> ignored) {
-        for (Found found : read(wall, mostAge)) {
+    public <T> Optional<T> readNewest(
+            Instant wall,
+            Duration mostAge,
+            Reader<T> reader,
+            BiConsumer<SnapshotFile, String> ignored) {
+        for (SnapshotFile found : read(wall, mostAge)) {
             if (found.fault() != Fault.NONE) {
                 ignored.accept(found, found.fault().name());
                 continue;
@@ -163,7 +166,7 @@
         return ByteBuffer.wrap(Files.readAllBytes(file));
     }
 
-    private static Found judge(Path file, ByteBuffer in, Instant wall, Duration mostAge) {
+    private static SnapshotFile judge(Path file, ByteBuffer in, Instant wall, Duration mostAge) {
         Fault fault = Fault.NONE;
         Duration age = Duration.ZERO;
         byte[] body = new byte[0];
@@ -191,7 +194,7 @@
                                 : body;
             }
         }
-        return new Found(file, fault, age, body);
+        return new SnapshotFile(file, fault, age, body);
     }
 
     private static int checksum(byte[] bytes, int length) {
--- a/src/test/java/cypressglade/snapshot/SnapshotStoreTest.java
+++ b/src/test/java/cypressglade/snapshot/SnapshotStoreTest.java
@@ -33,7 +33,7 @@
     }
 
     private List<Fault> faults() {
-        return store.read(WALL, MOST_AGE).stream().map(SnapshotStore.Found::fault).toList();
+        return store.read(WALL, MOST_AGE).stream().map(SnapshotStore.SnapshotFile::fault).toList();
     }
 
     @Test
@@ -76,7 +76,7 @@
     })
     void ageByTheWallClockIsJudged(int seconds, Fault fault) {
         assertThat(store.read(WALL.plusSeconds(seconds), MOST_AGE))
-                .extracting(SnapshotStore.Found::fault)
+                .extracting(SnapshotStore.SnapshotFile::fault)
                 .containsOnly(fault);
     }
 
