--- a/src/main/java/cypressglade/snapshot/SnapshotStore.java
+++ b/src/main/java/cypressglade/snapshot/SnapshotStore.java
@@ -23,77 +23,101 @@
 import java.util.zip.CRC32C;
 
 /**
- * One state in one directory: {@code NAME.snap} and, one older, {@code NAME.snap.1}. A write goes
- * to a temporary file, is forced to the disk, and takes the place of the last by rename, so that a
- * stop at any step leaves at least one whole generation. A file is a head (magic, version, time of
- * writing in milliseconds since the epoch, length of the body), the body, and the CRC-32C (RFC
- * 3720, B.4) of both.
+ * Stores one state in a directory: the newest snapshot in {@code NAME.snap} and the one before it
+ * in {@code NAME.snap.1}. A write goes to a temporary file, is forced to the disk, and replaces the
+ * newest snapshot by rename, so that a crash at any step leaves at least one complete snapshot. A
+ * file consists of a header (magic, version, time of writing in milliseconds since the epoch,
+ * length of the body), the body, and the CRC-32C (RFC 3720, B.4) of both; numbers are big-endian.
  *
- * <p>Writes must not come from two threads at a time. They block on the disk.
+ * <p>Only one thread may write at a time. Reads and writes block on the disk.
  */
 public final class SnapshotStore {
     private static final byte[] MAGIC = "cgsnap".getBytes(StandardCharsets.US_ASCII);
     private static final short VERSION = 1;
-    private static final int HEAD = MAGIC.length + Short.BYTES + Long.BYTES + Integer.BYTES;
-    private static final int MOST_BODY = 16 << 20;
-    private static final Duration CLOCK_STEP = Duration.ofSeconds(2);
-    private static final Set<PosixFilePermission> OWNER =
+    private static final int HEADER_BYTES = MAGIC.length + Short.BYTES + Long.BYTES + Integer.BYTES;
+    private static final int MAX_BODY_BYTES = 16 << 20;
+    private static final Duration MAX_CLOCK_SKEW = Duration.ofSeconds(2);
+    private static final Set<PosixFilePermission> OWNER_ONLY =
             EnumSet.of(PosixFilePermission.OWNER_READ, PosixFilePermission.OWNER_WRITE);
 
     /**
-     * However long ago it was written, and also where the wall clock was stepped back since: for
-     * what operators decided, which holds until they decide anew.
+     * A maximum age that accepts every snapshot, also one from the future, as after the wall clock
+     * was stepped back. For operators' decisions, which hold until they are changed.
      */
     public static final Duration ANY_AGE = Duration.ofDays(36_500);
 
     private final Path directory;
     private final Path current;
-    private final Path before;
+    private final Path previous;
     private final Path temporary;
 
-    /** Why a file is of no use. */
+    /** Why a file cannot be used. */
     public enum Fault {
+        /** It can be used. */
         NONE,
+
+        /** It is incomplete, or its checksum does not match. */
         TORN,
+
+        /** Its magic or version is not the expected one, or it is too large. */
         FOREIGN,
+
+        /** It is older than the maximum age. */
         TOO_OLD,
+
+        /** Its time of writing is ahead of the wall clock by more than two seconds. */
         FROM_THE_FUTURE,
+
+        /** It cannot be read from the disk. */
         UNREADABLE
     }
 
     /**
-     * One generation that was there.
+     * One file as read from the disk.
      *
-     * @param age by the wall clock, never negative
-     * @param body what was written; empty where there is a fault
+     * @param fault {@link Fault#NONE} where the body can be used
+     * @param age by the wall clock, never negative; zero where the time of writing is unknown or in
+     *     the future
+     * @param body the bytes that were written; empty where there is a fault
      */
     public record SnapshotFile(Path file, Fault fault, Duration age, byte[] body) {}
 
-    /** Makes a state of a body. */
-    public interface Reader<T> {
+    /** Decodes the body of a snapshot. */
+    public interface Decoder<T> {
         /**
-         * @throws IOException where it cannot; its message says why
+         * @throws IOException where the body cannot be decoded; its message says why
          */
-        T read(SnapshotFile found) throws IOException;
+        T decode(SnapshotFile snapshot) throws IOException;
     }
 
+    /**
+     * @param directory an existing directory
+     * @param name the file name without its extension
+     */
     public SnapshotStore(Path directory, String name) {
         this.directory = directory;
         current = directory.resolve(name + ".snap");
-        before = directory.resolve(name + ".snap.1");
+        previous = directory.resolve(name + ".snap.1");
         temporary = directory.resolve(name + ".snap.tmp");
     }
 
-    /** Writes a new generation, and returns when it will outlive a loss of power. */
+    /**
+     * Writes a new snapshot and keeps the last as the previous one. Returns once it would survive a
+     * loss of power.
+     *
+     * @param body at most 16 MiB; {@link #read} rejects a longer one
+     * @param wall the time of writing
+     * @throws IOException where a step fails; the files that were complete stay
+     */
     public void write(byte[] body, Instant wall) throws IOException {
         ByteBuffer file =
-                ByteBuffer.allocate(HEAD + body.length + Integer.BYTES)
+                ByteBuffer.allocate(HEADER_BYTES + body.length + Integer.BYTES)
                         .put(MAGIC)
                         .putShort(VERSION)
                         .putLong(wall.toEpochMilli())
                         .putInt(body.length)
                         .put(body);
-        file.putInt(checksum(file.array(), HEAD + body.length)).flip();
+        file.putInt(checksum(file.array(), HEADER_BYTES + body.length)).flip();
         try (FileChannel out =
                 FileChannel.open(
                         temporary,
@@ -101,7 +125,7 @@
                                 StandardOpenOption.CREATE,
                                 StandardOpenOption.WRITE,
                                 StandardOpenOption.TRUNCATE_EXISTING),
-                        PosixFilePermissions.asFileAttribute(OWNER))) {
+                        PosixFilePermissions.asFileAttribute(OWNER_ONLY))) {
             while (file.hasRemaining()) {
                 out.write(file);
             }
@@ -110,7 +134,7 @@
         if (Files.exists(current)) {
             Files.move(
                     current,
-                    before,
+                    previous,
                     StandardCopyOption.ATOMIC_MOVE,
                     StandardCopyOption.REPLACE_EXISTING);
         }
@@ -119,54 +143,66 @@
                 current,
                 StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
-        try (FileChannel names = FileChannel.open(directory, StandardOpenOption.READ)) {
-            names.force(true);
+        try (FileChannel entries = FileChannel.open(directory, StandardOpenOption.READ)) {
+            entries.force(true);
         }
     }
 
-    /** The generations that are there, the newest first, each judged by itself. */
-    public List<SnapshotFile> read(Instant wall, Duration mostAge) {
-        List<SnapshotFile> found = new ArrayList<>();
-        for (Path file : List.of(current, before)) {
+    /**
+     * Reads the files that exist, the newest first, and checks each on its own.
+     *
+     * @param wall the current time
+     * @param maxAge an older file gets {@link Fault#TOO_OLD}
+     */
+    public List<SnapshotFile> read(Instant wall, Duration maxAge) {
+        List<SnapshotFile> files = new ArrayList<>();
+        for (Path file : List.of(current, previous)) {
             try {
-                found.add(judge(file, bytes(file), wall, mostAge));
-            } catch (NoSuchFileException none) {
-                continue; // the first start, or a stop between two renames
+                files.add(check(file, readBytes(file), wall, maxAge));
+            } catch (NoSuchFileException absent) {
+                continue; // before the first writes, or after a crash between the two renames
             } catch (IOException unreadable) {
-                found.add(new SnapshotFile(file, Fault.UNREADABLE, Duration.ZERO, new byte[0]));
+                files.add(new SnapshotFile(file, Fault.UNREADABLE, Duration.ZERO, new byte[0]));
             }
         }
-        return found;
+        return files;
     }
 
-    /** The newest generation that can be read; {@code ignored} hears of each before it, and why. */
+    /**
+     * Reads and decodes the newest snapshot that can be used.
+     *
+     * @param wall the current time
+     * @param maxAge an older file is skipped
+     * @param ignored is called with each newer file that was skipped, and why
+     * @return empty where no file can be used
+     */
     public <T> Optional<T> readNewest(
             Instant wall,
-            Duration mostAge,
-            Reader<T> reader,
+            Duration maxAge,
+            Decoder<T> decoder,
             BiConsumer<SnapshotFile, String> ignored) {
-        for (SnapshotFile found : read(wall, mostAge)) {
-            if (found.fault() != Fault.NONE) {
-                ignored.accept(found, found.fault().name());
+        for (SnapshotFile file : read(wall, maxAge)) {
+            if (file.fault() != Fault.NONE) {
+                ignored.accept(file, file.fault().name());
                 continue;
             }
             try {
-                return Optional.of(reader.read(found));
-            } catch (IOException unreadable) {
-                ignored.accept(found, unreadable.getMessage());
+                return Optional.of(decoder.decode(file));
+            } catch (IOException invalid) {
+                ignored.accept(file, invalid.getMessage());
             }
         }
         return Optional.empty();
     }
 
-    private static ByteBuffer bytes(Path file) throws IOException {
-        if (Files.size(file) > HEAD + MOST_BODY + Integer.BYTES) {
+    private static ByteBuffer readBytes(Path file) throws IOException {
+        if (Files.size(file) > HEADER_BYTES + MAX_BODY_BYTES + Integer.BYTES) {
             return ByteBuffer.allocate(0);
         }
         return ByteBuffer.wrap(Files.readAllBytes(file));
     }
 
-    private static SnapshotFile judge(Path file, ByteBuffer in, Instant wall, Duration mostAge) {
+    private static SnapshotFile check(Path file, ByteBuffer in, Instant wall, Duration maxAge) {
         Fault fault = Fault.NONE;
         Duration age = Duration.ZERO;
         byte[] body = new byte[0];
@@ -175,22 +211,24 @@
         if (!Arrays.equals(magic, MAGIC)
                 || in.remaining() >= Short.BYTES && in.getShort() != VERSION) {
             fault = Fault.FOREIGN;
-        } else if (in.limit() < HEAD + Integer.BYTES) {
+        } else if (in.limit() < HEADER_BYTES + Integer.BYTES) {
             fault = Fault.TORN;
         } else {
             Instant written = Instant.ofEpochMilli(in.getLong());
             int length = in.getInt();
             if (length != in.remaining() - Integer.BYTES
-                    || in.getInt(HEAD + length) != checksum(in.array(), HEAD + length)) {
+                    || in.getInt(HEADER_BYTES + length)
+                            != checksum(in.array(), HEADER_BYTES + length)) {
                 fault = Fault.TORN;
-            } else if (!mostAge.equals(ANY_AGE) && written.isAfter(wall.plus(CLOCK_STEP))) {
+            } else if (!maxAge.equals(ANY_AGE) && written.isAfter(wall.plus(MAX_CLOCK_SKEW))) {
                 fault = Fault.FROM_THE_FUTURE;
             } else {
                 age = written.isAfter(wall) ? Duration.ZERO : Duration.between(written, wall);
-                fault = age.compareTo(mostAge) > 0 ? Fault.TOO_OLD : Fault.NONE;
+                fault = age.compareTo(maxAge) > 0 ? Fault.TOO_OLD : Fault.NONE;
                 body =
                         fault == Fault.NONE
-                                ? Arrays.copyOfRange(in.array(), HEAD, HEAD + length)
+                                ? Arrays.copyOfRange(
+                                        in.array(), HEADER_BYTES, HEADER_BYTES + length)
                                 : body;
             }
         }
--- a/src/test/java/cypressglade/snapshot/SnapshotStoreTest.java
+++ b/src/test/java/cypressglade/snapshot/SnapshotStoreTest.java
@@ -15,10 +15,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A state on disk is whole or it is not there, and the one before it is. */
+/** Guards against damaged or outdated files that are read as valid, and against a lost spare. */
 class SnapshotStoreTest {
     private static final Instant WALL = Instant.parse("2026-06-01T12:00:00Z");
-    private static final Duration MOST_AGE = Duration.ofMinutes(2);
+    private static final Duration MAX_AGE = Duration.ofMinutes(2);
 
     @TempDir private Path directory;
     private SnapshotStore store;
@@ -33,26 +33,23 @@
     }
 
     private List<Fault> faults() {
-        return store.read(WALL, MOST_AGE).stream().map(SnapshotStore.SnapshotFile::fault).toList();
+        return store.read(WALL, MAX_AGE).stream().map(SnapshotStore.SnapshotFile::fault).toList();
     }
 
     @Test
-    void twoGenerationsAreKeptTheNewestFirst() throws IOException {
+    void theTwoNewestSnapshotsAreKept() throws IOException {
         store.write(new byte[] {3}, WALL);
-        assertThat(store.read(WALL.plusSeconds(5), MOST_AGE))
+        assertThat(store.read(WALL.plusSeconds(5), MAX_AGE))
                 .extracting(found -> found.body()[0])
                 .containsExactly((byte) 3, (byte) 2);
-        assertThat(store.read(WALL.plusSeconds(5), MOST_AGE).get(0).age())
+        assertThat(store.read(WALL.plusSeconds(5), MAX_AGE).get(0).age())
                 .isEqualTo(Duration.ofSeconds(5));
         assertThat(Files.getPosixFilePermissions(current)).hasSize(2);
     }
 
-    /**
-     * Cut at every byte, and one bit changed at every byte: never taken for whole, and the older
-     * one is.
-     */
+    /** Truncates the newest file at each byte, and flips one bit of each byte. */
     @Test
-    void tornAndChangedFilesAreNeverTaken() throws IOException {
+    void truncatedAndChangedFilesAreNeverAccepted() throws IOException {
         byte[] whole = Files.readAllBytes(current);
         for (int i = 0; i < whole.length; i++) {
             Files.write(current, java.util.Arrays.copyOf(whole, i));
@@ -74,18 +71,18 @@
         "-3, FROM_THE_FUTURE",
         "-600, FROM_THE_FUTURE"
     })
-    void ageByTheWallClockIsJudged(int seconds, Fault fault) {
-        assertThat(store.read(WALL.plusSeconds(seconds), MOST_AGE))
+    void filesThatAreTooOldOrFromTheFutureAreRejected(int seconds, Fault fault) {
+        assertThat(store.read(WALL.plusSeconds(seconds), MAX_AGE))
                 .extracting(SnapshotStore.SnapshotFile::fault)
                 .containsOnly(fault);
     }
 
     /**
-     * A stop between the two renames, one while the temporary file is written, and files that are
-     * no files.
+     * A crash while the temporary file is written, one between the two renames, and a directory in
+     * place of the file.
      */
     @Test
-    void stopAtAnyStepLeavesAGeneration() throws IOException {
+    void crashAtAnyStepLeavesAUsableSnapshot() throws IOException {
         Files.write(directory.resolve("x.snap.tmp"), new byte[] {9});
         assertThat(faults()).containsExactly(Fault.NONE, Fault.NONE);
         Files.delete(current);
