--- a/src/main/java/cypressglade/adapter/Adapter.java
+++ b/src/main/java/cypressglade/adapter/Adapter.java
@@ -18,103 +18,116 @@
 import java.util.List;
 import java.util.Map;
 
-/** Joins the wire on standard input and output to one scheduler for each head. Decides nothing. */
+/**
+ * Connects the simulator's frames on standard input and output to one scheduler for each instance
+ * that the simulator opens. It only translates; all decisions are made by the schedulers. Used by
+ * one thread.
+ */
 public final class Adapter implements FrameReader.Handler {
     private static final int OK = 0;
-    private static final int BROKEN_INPUT = 1;
-    private static final int BUFFER = 1 << 16;
+    private static final int INVALID_INPUT = 1;
+    private static final int BUFFER_BYTES = 1 << 16;
 
-    private final Map<Integer, Scheduler> heads = new HashMap<>();
+    private final Map<Integer, Scheduler> schedulers = new HashMap<>();
     private final FrameWriter writer = new FrameWriter();
-    private long clock;
+    private long clockMicros;
 
     private Adapter() {}
 
-    /** Runs the adapter until the input ends; returns the exit code. */
+    /**
+     * Answers every input frame with one reply frame until the input ends.
+     *
+     * @param errors gets one line where the input cannot be read or decoded
+     * @return the exit code of the process: 0 at a regular end of the input, 1 after an error
+     */
     public static int run(InputStream in, OutputStream out, PrintStream errors) {
         try {
             new Adapter().serve(in, out);
             return OK;
-        } catch (WireException | IOException broken) {
-            errors.println("cypressglade: " + broken.getMessage());
-            return BROKEN_INPUT;
+        } catch (WireException | IOException invalid) {
+            errors.println("cypressglade: " + invalid.getMessage());
+            return INVALID_INPUT;
         }
     }
 
     private void serve(InputStream in, OutputStream out) throws IOException, WireException {
-        FrameReader reader = new FrameReader(new BufferedInputStream(in, BUFFER));
+        FrameReader reader = new FrameReader(new BufferedInputStream(in, BUFFER_BYTES));
         while (reader.next()) {
-            clock = reader.clock();
+            clockMicros = reader.clockMicros();
             reader.deliver(this);
             writer.flush(out);
         }
     }
 
-    private Scheduler head(int head) throws WireException {
-        Scheduler scheduler = heads.get(head);
+    private Scheduler scheduler(int instance) throws WireException {
+        Scheduler scheduler = schedulers.get(instance);
         if (scheduler == null) {
-            throw new WireException("event for instance " + head + ", which was never opened");
+            throw new WireException("event for instance " + instance + ", which was never opened");
         }
         return scheduler;
     }
 
     @Override
-    public void open(int head, long seed, String settings) throws WireException {
+    public void openInstance(int instance, long seed, String settings) throws WireException {
         try {
-            heads.put(
-                    head,
+            schedulers.put(
+                    instance,
                     new SchedulingPolicy(
-                            clock, SettingsParser.parseLines(seed, settings), writer.of(head)));
-        } catch (ConfigException bad) {
-            throw new WireException(bad.getMessage());
+                            clockMicros,
+                            SettingsParser.parseLines(seed, settings),
+                            writer.actionsOf(instance)));
+        } catch (ConfigException invalid) {
+            throw new WireException(invalid.getMessage());
         }
     }
 
     @Override
-    public void down(int head) throws WireException {
-        head(head);
-        heads.remove(head);
+    public void closeInstance(int instance) throws WireException {
+        scheduler(instance);
+        schedulers.remove(instance);
     }
 
     @Override
-    public void nodes(int head, ListKind kind, List<NodeEntry> entries) throws WireException {
-        head(head).updateNodes(clock, kind, entries);
+    public void handleNodeList(int instance, ListKind kind, List<NodeEntry> entries)
+            throws WireException {
+        scheduler(instance).updateNodes(clockMicros, kind, entries);
     }
 
     @Override
-    public void request(int head, Request request) throws WireException {
-        head(head).handleRequest(clock, request);
+    public void handleRequest(int instance, Request request) throws WireException {
+        scheduler(instance).handleRequest(clockMicros, request);
     }
 
     @Override
-    public void outcome(int head, Outcome outcome) throws WireException {
-        head(head).handleOutcome(clock, outcome);
+    public void handleOutcome(int instance, Outcome outcome) throws WireException {
+        scheduler(instance).handleOutcome(clockMicros, outcome);
     }
 
     @Override
-    public void withdrawn(int head, long requestId) throws WireException {
-        head(head).handleWithdrawal(clock, requestId);
+    public void handleWithdrawal(int instance, long requestId) throws WireException {
+        scheduler(instance).handleWithdrawal(clockMicros, requestId);
     }
 
     @Override
-    public void message(int head, long fromRank, byte[] text) throws WireException {
-        head(head).handlePeerMessage(clock, fromRank, text);
+    public void handlePeerMessage(int instance, long fromRank, byte[] text) throws WireException {
+        scheduler(instance).handlePeerMessage(clockMicros, fromRank, text);
     }
 
     @Override
-    public void streamStarted(int head, long requestId, int attempt, long node, long latencyUs)
+    public void handleStreamStart(
+            int instance, long requestId, int attempt, long node, long latencyUs)
             throws WireException {
-        head(head).handleStreamStart(clock, requestId, attempt, node, latencyUs);
+        scheduler(instance).handleStreamStart(clockMicros, requestId, attempt, node, latencyUs);
     }
 
     @Override
-    public void probed(int head, long node, Status status, long latencyUs, float[] load)
+    public void handleProbe(int instance, long node, Status status, long latencyUs, float[] load)
             throws WireException {
-        head(head).handleProbe(clock, node, status, latencyUs, load);
+        scheduler(instance).handleProbe(clockMicros, node, status, latencyUs, load);
     }
 
     @Override
-    public void timer(int head, long token) throws WireException {
-        head(head).handleTimer(clock, token);
+    public void handleTimer(int instance, long token) throws WireException {
+        scheduler(instance).handleTimer(clockMicros, token);
     }
 }
--- a/src/main/java/cypressglade/adapter/FrameReader.java
+++ b/src/main/java/cypressglade/adapter/FrameReader.java
@@ -17,42 +17,51 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Decodes batches of events; little-endian, unpadded. */
+/**
+ * Decodes the input frames, each of which holds a batch of events. All numbers are little-endian
+ * and unpadded. A frame is a header (length of the whole frame as u32, the simulator's clock in
+ * microseconds as i64, number of records as u32) and the records; a record is an event code (u8),
+ * the number of an instance (u16), and the fields of that event.
+ */
 final class FrameReader {
-    private static final int HEADER = 16;
-    private static final int LARGEST_FRAME = 1 << 30;
+    private static final int HEADER_BYTES = 16;
+    private static final int MAX_FRAME_BYTES = 1 << 30;
     private static final int REPEAT_FLAG = 2;
     private static final int WRITE_FLAG = 4;
 
-    /** Takes the events of a batch, in order. */
+    /**
+     * Receives the events of a frame, in order. A method throws {@link WireException} where the
+     * event does not fit the instances that are open.
+     */
     interface Handler {
-        void open(int head, long seed, String settings) throws WireException;
+        void openInstance(int instance, long seed, String settings) throws WireException;
 
-        void down(int head) throws WireException;
+        void closeInstance(int instance) throws WireException;
 
-        void nodes(int head, ListKind kind, List<NodeEntry> entries) throws WireException;
+        void handleNodeList(int instance, ListKind kind, List<NodeEntry> entries)
+                throws WireException;
 
-        void request(int head, Request request) throws WireException;
+        void handleRequest(int instance, Request request) throws WireException;
 
-        void outcome(int head, Outcome outcome) throws WireException;
+        void handleOutcome(int instance, Outcome outcome) throws WireException;
 
-        void withdrawn(int head, long requestId) throws WireException;
+        void handleWithdrawal(int instance, long requestId) throws WireException;
 
-        void message(int head, long fromRank, byte[] text) throws WireException;
+        void handlePeerMessage(int instance, long fromRank, byte[] text) throws WireException;
 
-        void streamStarted(int head, long requestId, int attempt, long node, long latencyUs)
+        void handleStreamStart(int instance, long requestId, int attempt, long node, long latencyUs)
                 throws WireException;
 
-        void probed(int head, long node, Status status, long latencyUs, float[] load)
+        void handleProbe(int instance, long node, Status status, long latencyUs, float[] load)
                 throws WireException;
 
-        void timer(int head, long token) throws WireException;
+        void handleTimer(int instance, long token) throws WireException;
     }
 
     private final DataInputStream in;
     private ByteBuffer frame = ByteBuffer.allocate(0);
-    private long clock;
-    private long records;
+    private long clockMicros;
+    private long recordCount;
 
     FrameReader(InputStream in) {
         this.in = new DataInputStream(in);
@@ -60,22 +69,22 @@
 
     /** Reads the next frame; false at a regular end of input. */
     boolean next() throws IOException, WireException {
-        byte[] header = new byte[HEADER];
-        int got = in.readNBytes(header, 0, HEADER);
-        if (got == 0) {
+        byte[] header = new byte[HEADER_BYTES];
+        int count = in.readNBytes(header, 0, HEADER_BYTES);
+        if (count == 0) {
             return false;
         }
-        if (got < HEADER) {
-            throw new WireException("input ends inside a frame header, after " + got + " bytes");
+        if (count < HEADER_BYTES) {
+            throw new WireException("input ends inside a frame header, after " + count + " bytes");
         }
-        ByteBuffer head = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
-        long length = Integer.toUnsignedLong(head.getInt());
-        if (length < HEADER || length > LARGEST_FRAME) {
+        ByteBuffer fields = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
+        long length = Integer.toUnsignedLong(fields.getInt());
+        if (length < HEADER_BYTES || length > MAX_FRAME_BYTES) {
             throw new WireException("frame length " + length + " is out of range");
         }
-        clock = head.getLong();
-        records = Integer.toUnsignedLong(head.getInt());
-        byte[] body = new byte[(int) length - HEADER];
+        clockMicros = fields.getLong();
+        recordCount = Integer.toUnsignedLong(fields.getInt());
+        byte[] body = new byte[(int) length - HEADER_BYTES];
         try {
             in.readFully(body);
         } catch (EOFException end) {
@@ -85,22 +94,23 @@
         return true;
     }
 
-    long clock() {
-        return clock;
+    /** The clock of the frame that was read last, in microseconds. */
+    long clockMicros() {
+        return clockMicros;
     }
 
-    /** Hands the records of the frame to the handler. */
+    /** Decodes the records of the frame and passes each to the handler. */
     void deliver(Handler handler) throws WireException {
-        for (long i = 0; i < records; i++) {
+        for (long i = 0; i < recordCount; i++) {
             int start = frame.position();
             try {
-                record(handler);
+                readRecord(handler);
             } catch (BufferUnderflowException end) {
                 throw new WireException(
                         "record "
                                 + i
                                 + " at byte "
-                                + (HEADER + start)
+                                + (HEADER_BYTES + start)
                                 + " runs past the end of its frame");
             }
         }
@@ -109,98 +119,106 @@
         }
     }
 
-    private void record(Handler handler) throws WireException {
-        int at = HEADER + frame.position();
-        int code = u8();
-        int head = u16();
+    private void readRecord(Handler handler) throws WireException {
+        int offset = HEADER_BYTES + frame.position();
+        int code = readU8();
+        int instance = readU16();
         switch (code) {
             case 16 ->
-                    handler.open(
-                            head,
+                    handler.openInstance(
+                            instance,
                             frame.getLong(),
-                            new String(bytes(u32()), StandardCharsets.UTF_8));
-            case 17 -> nodes(handler, head);
+                            new String(readBytes(readU32()), StandardCharsets.UTF_8));
+            case 17 -> readNodeList(handler, instance);
             case 18 -> {
                 long id = frame.getLong();
-                int attempt = u8();
-                long node = node();
-                handler.outcome(
-                        head,
+                int attempt = readU8();
+                long node = readNode();
+                handler.handleOutcome(
+                        instance,
                         new Outcome(
-                                id, attempt, node, status(), u32(), u8() != 0, u16(), u16(),
-                                load()));
+                                id,
+                                attempt,
+                                node,
+                                readStatus(),
+                                readU32(),
+                                readU8() != 0,
+                                readU16(),
+                                readU16(),
+                                readLoad()));
             }
-            case 19 -> handler.withdrawn(head, frame.getLong());
-            case 20 -> handler.message(head, u32(), bytes(u16()));
+            case 19 -> handler.handleWithdrawal(instance, frame.getLong());
+            case 20 -> handler.handlePeerMessage(instance, readU32(), readBytes(readU16()));
             case 21 -> {
                 long id = frame.getLong();
-                long node = node();
-                long latency = u32();
-                handler.streamStarted(head, id, u8(), node, latency);
+                long node = readNode();
+                long latency = readU32();
+                handler.handleStreamStart(instance, id, readU8(), node, latency);
             }
             case 22 -> {
-                Status status = status();
-                handler.probed(head, node(), status, u32(), load());
+                Status status = readStatus();
+                handler.handleProbe(instance, readNode(), status, readU32(), readLoad());
             }
-            case 23 -> request(handler, head);
-            case 24 -> handler.down(head);
-            case 25 -> handler.timer(head, u32());
-            default -> throw new WireException("unknown event code " + code + " at byte " + at);
+            case 23 -> readRequest(handler, instance);
+            case 24 -> handler.closeInstance(instance);
+            case 25 -> handler.handleTimer(instance, readU32());
+            default -> throw new WireException("unknown event code " + code + " at byte " + offset);
         }
     }
 
-    private void request(Handler handler, int head) throws WireException {
+    private void readRequest(Handler handler, int instance) throws WireException {
         long id = frame.getLong();
         int shard = (int) frame.getFloat();
-        int requestClass = u8();
+        int requestClass = readU8();
         int plan = frame.getInt();
-        int heads = (int) frame.getFloat();
-        int flags = u8();
+        int instances = (int) frame.getFloat();
+        int flags = readU8();
         long volume = frame.getLong();
         long key = frame.getLong();
         float units = frame.getFloat();
-        handler.request(
-                head,
+        handler.handleRequest(
+                instance,
                 new Request(
                         id,
                         shard,
                         requestClass,
                         plan,
-                        heads,
+                        instances,
                         (flags & REPEAT_FLAG) != 0,
                         (flags & WRITE_FLAG) != 0,
                         volume,
                         key,
                         units,
-                        u32()));
+                        readU32()));
     }
 
-    private void nodes(Handler handler, int head) throws WireException {
-        int kind = u8();
+    private void readNodeList(Handler handler, int instance) throws WireException {
+        int kind = readU8();
         if (kind >= ListKind.values().length) {
             throw new WireException("unknown list kind " + kind);
         }
         frame.getInt();
-        long count = u32();
+        long count = readU32();
         List<NodeEntry> entries = new ArrayList<>();
         for (long i = 0; i < count; i++) {
-            int zone = u16();
-            int state = u8();
+            int zone = readU16();
+            int state = readU8();
             if (state >= State.values().length) {
                 throw new WireException("unknown node state " + state);
             }
-            int shard = u16();
+            int shard = readU16();
             float size = frame.getFloat();
-            long node = node();
+            long node = readNode();
             long started = frame.getLong();
             entries.add(
-                    new NodeEntry(node, zone, State.values()[state], shard, size, started, u16()));
+                    new NodeEntry(
+                            node, zone, State.values()[state], shard, size, started, readU16()));
         }
-        handler.nodes(head, ListKind.values()[kind], entries);
+        handler.handleNodeList(instance, ListKind.values()[kind], entries);
     }
 
-    private Status status() throws WireException {
-        int code = u16();
+    private Status readStatus() throws WireException {
+        int code = readU16();
         return switch (code) {
             case 200 -> Status.OK;
             case 500 -> Status.ERROR;
@@ -215,26 +233,26 @@
     }
 
     /**
-     * Four address bytes and a port, kept as one number: address in the high bytes, first byte
-     * highest.
+     * Four bytes of an IPv4 address and a port, combined in one number: the address in bits 16 to
+     * 47, its first byte highest, and the port in the low 16 bits.
      */
-    private long node() {
+    private long readNode() {
         long node = 0;
         for (int i = 0; i < 4; i++) {
-            node = node << 8 | u8();
+            node = node << 8 | readU8();
         }
-        return node << 16 | u16();
+        return node << 16 | readU16();
     }
 
-    private float[] load() {
-        float[] load = new float[u8()];
+    private float[] readLoad() {
+        float[] load = new float[readU8()];
         for (int i = 0; i < load.length; i++) {
             load[i] = frame.getFloat();
         }
         return load;
     }
 
-    private byte[] bytes(long count) {
+    private byte[] readBytes(long count) {
         if (count > frame.remaining()) {
             throw new BufferUnderflowException();
         }
@@ -243,15 +261,15 @@
         return bytes;
     }
 
-    private int u8() {
+    private int readU8() {
         return Byte.toUnsignedInt(frame.get());
     }
 
-    private int u16() {
+    private int readU16() {
         return Short.toUnsignedInt(frame.getShort());
     }
 
-    private long u32() {
+    private long readU32() {
         return Integer.toUnsignedLong(frame.getInt());
     }
 }
--- a/src/test/java/cypressglade/adapter/AdapterTest.java
+++ b/src/test/java/cypressglade/adapter/AdapterTest.java
@@ -12,7 +12,7 @@
 import java.util.HexFormat;
 import org.junit.jupiter.api.Test;
 
-/** The wire, from and to bytes written out here. */
+/** Checks the simulator's protocol against frames that are written out byte by byte. */
 class AdapterTest {
     private static final String CLOCK = "5a5c800000000000";
     private static final String SETTINGS =
@@ -59,7 +59,7 @@
         return Adapter.run(new ByteArrayInputStream(input), out, new PrintStream(errors));
     }
 
-    private void breaks(byte[] input, String message) {
+    private void assertRejected(byte[] input, String message) {
         assertEquals(1, run(input, new ByteArrayOutputStream()));
         String text = errors.toString();
         assertTrue(text.contains(message), text);
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void emptyBatchGivesAnEmptyReply() {
+    void emptyFrameGivesAnEmptyReply() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         assertEquals(0, run(frame(0), out));
         assertEquals("04000000", HexFormat.of().formatHex(out.toByteArray()));
@@ -86,9 +86,9 @@
     }
 
     @Test
-    void everyActionHasItsLayout() throws Exception {
+    void everyActionIsEncodedWithItsFieldsInOrder() throws Exception {
         FrameWriter writer = new FrameWriter();
-        var actions = writer.of(3);
+        var actions = writer.actionsOf(3);
         actions.refuse(0x0e3f4f5d3a91c4L, 250_000);
         actions.fail(0x0a9bf60e6f2b19L);
         actions.cancel(0x0e3f4f5d3a91c4L, 1);
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void everyEventHasItsLayout() {
+    void everyEventIsDecoded() {
         byte[] input =
                 frame(
                         9,
@@ -129,48 +129,48 @@
     }
 
     @Test
-    void brokenInputIsReportedInOnePlainLine() {
-        breaks(bytes("1000"), "ends inside a frame header");
+    void incompleteFrameHeaderIsReported() {
+        assertRejected(bytes("1000"), "ends inside a frame header");
     }
 
     @Test
-    void cutFrameIsReported() {
+    void truncatedFrameIsReported() {
         byte[] whole = frame(1, open(SETTINGS));
-        breaks(java.util.Arrays.copyOf(whole, whole.length - 5), "ends inside a frame");
+        assertRejected(java.util.Arrays.copyOf(whole, whole.length - 5), "ends inside a frame");
     }
 
     @Test
-    void lengthOutOfRangeIsReported() {
-        breaks(bytes("ffffff7f" + CLOCK + "00000000"), "out of range");
+    void frameLengthOutOfRangeIsReported() {
+        assertRejected(bytes("ffffff7f" + CLOCK + "00000000"), "out of range");
     }
 
     @Test
-    void recordPastTheFrameIsReported() {
-        breaks(frame(1, bytes("13 0300 192b")), "runs past the end");
+    void recordPastTheEndOfItsFrameIsReported() {
+        assertRejected(frame(1, bytes("13 0300 192b")), "runs past the end");
     }
 
     @Test
-    void bytesBehindTheRecordsAreReported() {
-        breaks(frame(0, bytes("00")), "follow the last record");
+    void bytesAfterTheLastRecordAreReported() {
+        assertRejected(frame(0, bytes("00")), "follow the last record");
     }
 
     @Test
     void unknownEventCodeIsReported() {
-        breaks(frame(1, bytes("63 0300")), "unknown event code 99");
+        assertRejected(frame(1, bytes("63 0300")), "unknown event code 99");
     }
 
     @Test
-    void eventForAnUnopenedInstanceIsReported() {
-        breaks(frame(1, bytes("19 0300 4d000000")), "instance 3, which was never opened");
+    void eventForAnInstanceThatIsNotOpenIsReported() {
+        assertRejected(frame(1, bytes("19 0300 4d000000")), "instance 3, which was never opened");
     }
 
     @Test
     void unusableSettingsAreReported() {
-        breaks(frame(1, open("balancers=many\n")), "balancers");
+        assertRejected(frame(1, open("balancers=many\n")), "balancers");
     }
 
     @Test
     void settingsLineWithoutValueIsReported() {
-        breaks(frame(1, open("balancers\n")), "not path=value");
+        assertRejected(frame(1, open("balancers\n")), "not path=value");
     }
 }
