--- a/src/main/java/cypressglade/console/Console.java
+++ b/src/main/java/cypressglade/console/Console.java
@@ -25,66 +25,75 @@
 import org.jline.utils.NonBlockingReader;
 
 /**
- * The console on a terminal. One thread follows the scheduler's frames, and comes back when it
- * restarts; the caller's takes keys, sends orders on a connection of their own, and draws. The
- * terminal is restored however this ends. Where there is none, a table is printed instead, once or
- * again and again.
+ * The console on a terminal. One thread receives the scheduler's status frames and reconnects after
+ * the scheduler has restarted; the thread that calls {@link #run} handles keys, sends each command
+ * on a connection of its own, and draws. The terminal is restored however this ends. Without a
+ * terminal that can show a full screen, one table is printed instead.
  */
 public final class Console {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Duration COME_BACK = Duration.ofMillis(500);
-    private static final Duration REDRAW = Duration.ofMillis(100);
-    private static final Duration ORDER_TRIES = Duration.ofSeconds(5);
+    private static final Duration RECONNECT_DELAY = Duration.ofMillis(500);
+    private static final Duration REDRAW_INTERVAL = Duration.ofMillis(100);
+    private static final Duration COMMAND_RETRY_TIMEOUT = Duration.ofSeconds(5);
     private static final int PLAIN_WIDTH = 100;
     private static final int PLAIN_HEIGHT = 30;
 
     private final Path socket;
     private final boolean colour;
-    private final Desk desk = new Desk();
+    private final ConsoleModel model = new ConsoleModel();
     private final AtomicReference<View> latest = new AtomicReference<>(View.EMPTY);
-    private volatile String state = "connecting";
+    private volatile String connectionState = "connecting";
     private volatile boolean leaving;
 
-    /** Colours are left out where {@code NO_COLOR} is set to anything (no-color.org). */
+    /**
+     * @param socket the scheduler's control socket
+     * @param environment the process's environment; no colours are used where {@code NO_COLOR} is
+     *     set and not empty (no-color.org)
+     */
     public Console(Path socket, Map<String, String> environment) {
         this.socket = socket;
         colour = environment.getOrDefault("NO_COLOR", "").isEmpty();
     }
 
-    /** Runs until the operator leaves. */
+    /**
+     * Shows the console until the operator leaves, or prints one table where there is no terminal.
+     *
+     * @param plain where the table is printed
+     * @throws IOException where the terminal cannot be opened, or the table not be fetched
+     */
     public void run(PrintStream plain) throws IOException {
         try (Terminal terminal = TerminalBuilder.builder().system(true).dumb(true).build()) {
             if (terminal.getType().startsWith(Terminal.TYPE_DUMB)) {
-                print(plain);
+                printOnce(plain);
             } else {
-                full(terminal);
+                runFullScreen(terminal);
             }
         }
     }
 
-    /** One picture, for a pipe or a terminal that cannot do more. */
-    private void print(PrintStream out) throws IOException {
+    /** Prints the status once, for a pipe or a terminal without cursor control. */
+    private void printOnce(PrintStream out) throws IOException {
         try (ControlClient client = new ControlClient(socket)) {
-            desk.show(View.of(JSON.readTree(client.call("view", Map.of()))));
-            Screen.draw(desk, "connected", PLAIN_WIDTH, PLAIN_HEIGHT).stream()
+            model.update(View.parse(JSON.readTree(client.call("view", Map.of()))));
+            Screen.draw(model, "connected", PLAIN_WIDTH, PLAIN_HEIGHT).stream()
                     .map(line -> line.text().stripTrailing())
                     .limit(PLAIN_HEIGHT - 1)
                     .forEach(out::println);
         }
     }
 
-    private void full(Terminal terminal) throws IOException {
-        Thread follower = new Thread(this::follow, "frames");
+    private void runFullScreen(Terminal terminal) throws IOException {
+        Thread follower = new Thread(this::receiveFrames, "frames");
         follower.setDaemon(true);
         follower.start();
         Attributes before = terminal.enterRawMode();
         Thread restore = new Thread(() -> restore(terminal, before), "restore terminal");
         Runtime.getRuntime()
-                .addShutdownHook(restore); // a kill must not leave a broken terminal behind
+                .addShutdownHook(restore); // SIGTERM must not leave the terminal in raw mode
         terminal.puts(Capability.enter_ca_mode);
         terminal.puts(Capability.cursor_invisible);
         try {
-            draw(terminal);
+            handleKeysAndDraw(terminal);
         } finally {
             leaving = true;
             restore(terminal, before);
@@ -99,10 +108,10 @@
         terminal.flush();
     }
 
-    private void draw(Terminal terminal) {
+    private void handleKeysAndDraw(Terminal terminal) {
         Display display = new Display(terminal, true);
         BindingReader keys = new BindingReader(terminal.reader());
-        KeyMap<String> map = keys(terminal);
+        KeyMap<String> map = keyMap(terminal);
         int width = 0;
         int height = 0;
         while (!leaving) {
@@ -114,25 +123,25 @@
                 display.clear();
                 display.resize(size);
             }
-            desk.show(latest.get());
+            model.update(latest.get());
             int columns = width;
             List<AttributedString> lines =
-                    Screen.draw(desk, state, width, height).stream()
+                    Screen.draw(model, connectionState, width, height).stream()
                             .map(
                                     line ->
-                                            new AttributedString(line.text(), style(line.look()))
+                                            new AttributedString(line.text(), style(line.style()))
                                                     .columnSubSequence(0, columns))
                             .limit(height)
                             .toList();
             display.update(lines, -1);
-            if (keys.peekCharacter(REDRAW.toMillis()) != NonBlockingReader.READ_EXPIRED) {
+            if (keys.peekCharacter(REDRAW_INTERVAL.toMillis()) != NonBlockingReader.READ_EXPIRED) {
                 String key = keys.readBinding(map);
-                desk.key(key == null ? "end of input" : key).ifPresent(this::carryOut);
+                model.handleKey(key == null ? "end of input" : key).ifPresent(this::execute);
             }
         }
     }
 
-    private static KeyMap<String> keys(Terminal terminal) {
+    private static KeyMap<String> keyMap(Terminal terminal) {
         KeyMap<String> map = new KeyMap<>();
         for (char key = ' '; key <= '~'; key++) {
             map.bind(String.valueOf(key), String.valueOf(key));
@@ -151,30 +160,30 @@
         named.forEach((name, capability) -> map.bind(name, KeyMap.key(terminal, capability)));
         map.bind("up", "\u001b[A");
         map.bind("down", "\u001b[B");
-        map.setAmbiguousTimeout(REDRAW.toMillis());
+        map.setAmbiguousTimeout(REDRAW_INTERVAL.toMillis());
         map.setNomatch(" none");
         map.setUnicode(" none");
         return map;
     }
 
-    private AttributedStyle style(Screen.Look look) {
+    private AttributedStyle style(Screen.Style style) {
         AttributedStyle plain = AttributedStyle.DEFAULT;
-        return switch (look) {
+        return switch (style) {
             case TITLE -> plain.bold();
             case HEADING -> plain.underline();
-            case CHOSEN -> plain.inverse();
-            case BAD -> colour ? plain.foreground(AttributedStyle.RED) : plain.bold();
-            case CARE -> colour ? plain.foreground(AttributedStyle.YELLOW) : plain;
-            case QUIET -> colour ? plain.foreground(AttributedStyle.CYAN) : plain;
+            case SELECTED -> plain.inverse();
+            case ERROR -> colour ? plain.foreground(AttributedStyle.RED) : plain.bold();
+            case WARNING -> colour ? plain.foreground(AttributedStyle.YELLOW) : plain;
+            case SECONDARY -> colour ? plain.foreground(AttributedStyle.CYAN) : plain;
             default -> plain;
         };
     }
 
-    private void carryOut(Desk.Wish wish) {
-        if (wish instanceof Desk.Leave) {
+    private void execute(ConsoleModel.Command command) {
+        if (command instanceof ConsoleModel.Leave) {
             leaving = true;
-        } else if (wish instanceof Desk.Drain drain) {
-            order(
+        } else if (command instanceof ConsoleModel.Drain drain) {
+            send(
                     "drain",
                     Map.of(
                             "node",
@@ -183,31 +192,31 @@
                             drain.why(),
                             "force",
                             Boolean.toString(drain.force())));
-        } else if (wish instanceof Desk.Undrain undrain) {
-            order("undrain", Map.of("node", undrain.node()));
+        } else if (command instanceof ConsoleModel.Undrain undrain) {
+            send("undrain", Map.of("node", undrain.node()));
         }
     }
 
     /**
-     * Sends an order until it is answered; under one name, so that it acts once however often it is
-     * sent.
+     * Sends a command until it is answered, or the timeout has passed. Every send carries the same
+     * command id, so that the scheduler executes it once.
      */
-    private void order(String what, Map<String, String> fields) {
-        Map<String, String> order = new LinkedHashMap<>(fields);
-        order.put("command", UUID.randomUUID().toString());
-        order.put("who", System.getProperty("user.name", "?"));
-        long end = System.nanoTime() + ORDER_TRIES.toNanos();
+    private void send(String action, Map<String, String> fields) {
+        Map<String, String> message = new LinkedHashMap<>(fields);
+        message.put("command", UUID.randomUUID().toString());
+        message.put("who", System.getProperty("user.name", "?"));
+        long deadlineNanos = System.nanoTime() + COMMAND_RETRY_TIMEOUT.toNanos();
         while (true) {
             try (ControlClient client = new ControlClient(socket)) {
-                JsonNode answer = JSON.readTree(client.call(what, order));
-                desk.tell(
+                JsonNode answer = JSON.readTree(client.call(action, message));
+                model.setMessage(
                         !answer.path("ok").asBoolean()
                                 ? answer.path("error").asText()
                                         + "; "
                                         + answer.path("remedy").asText()
                                 : answer.path("node").asText()
                                         + ": "
-                                        + what
+                                        + action
                                         + (answer.path("acted").asBoolean()
                                                 ? " is done"
                                                 : " was done before")
@@ -215,26 +224,27 @@
                                                 ? ""
                                                 : ", but NOT on the disk"));
                 return;
-            } catch (IOException gone) {
-                if (System.nanoTime() > end || !pause()) {
-                    desk.tell(what + " may not have been done: " + gone.getMessage());
+            } catch (IOException disconnected) {
+                if (System.nanoTime() > deadlineNanos || !pause()) {
+                    model.setMessage(
+                            action + " may not have been done: " + disconnected.getMessage());
                     return;
                 }
             }
         }
     }
 
-    private void follow() {
+    private void receiveFrames() {
         while (!leaving) {
             try (ControlClient client = new ControlClient(socket)) {
                 String line = client.call("watch", Map.of());
                 while (!leaving) {
-                    state = "connected";
-                    latest.set(View.of(JSON.readTree(line)));
+                    connectionState = "connected";
+                    latest.set(View.parse(JSON.readTree(line)));
                     line = client.next();
                 }
-            } catch (IOException gone) {
-                state = "NO SCHEDULER, trying";
+            } catch (IOException disconnected) {
+                connectionState = "NO SCHEDULER, trying";
                 if (!pause()) {
                     return;
                 }
@@ -244,9 +254,9 @@
 
     private static boolean pause() {
         try {
-            Thread.sleep(COME_BACK.toMillis());
+            Thread.sleep(RECONNECT_DELAY.toMillis());
             return true;
-        } catch (InterruptedException cut) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             return false;
         }
--- a/src/main/java/cypressglade/console/Desk.java
+++ b/src/main/java/cypressglade/console/ConsoleModel.java
@@ -4,26 +4,29 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What the operator has chosen, and what each key makes of it; one thread. */
-final class Desk {
-    private static final int MOST_TEXT = 120;
-
-    /** What keys mean now. */
+/**
+ * The console's model: the selected node, filter, sort order and prompt, and what each key does to
+ * them. Used by one thread.
+ */
+final class ConsoleModel {
+    private static final int MAX_TEXT_LENGTH = 120;
+
+    /** Decides what a key means. */
     enum Mode {
-        LOOK,
+        BROWSE,
         FILTER,
         REASON,
         CONFIRM,
         HELP
     }
 
-    /** By what nodes are sorted, and the heading of its column. */
+    /** The columns that nodes can be sorted by, in the order in which key {@code s} steps on. */
     enum Sort {
         NODE("NODE", Comparator.comparing(View.Node::id)),
         STATE("STATE", Comparator.comparing(View.Node::state)),
-        PACE("ms/UNIT", Comparator.comparing(View.Node::msPerUnit).reversed()),
-        OUT("OUT", Comparator.comparing(View.Node::unitsOut).reversed()),
-        HELD("HELD", Comparator.comparing(View.Node::held).reversed());
+        SERVICE_TIME("ms/UNIT", Comparator.comparing(View.Node::msPerUnit).reversed()),
+        IN_FLIGHT("OUT", Comparator.comparing(View.Node::inFlightUnits).reversed()),
+        QUEUED("HELD", Comparator.comparing(View.Node::queued).reversed());
 
         final String heading;
         final Comparator<View.Node> order;
@@ -34,27 +37,35 @@
         }
     }
 
-    /** What a key was for, beyond the screen. */
-    sealed interface Wish {}
+    /** What a key asks for that goes beyond the model. */
+    sealed interface Command {}
 
-    record Drain(String node, String why, boolean force) implements Wish {}
+    /**
+     * Drains a node.
+     *
+     * @param why the reason that the operator has typed, at most 120 characters
+     * @param force drains also the only node of a shard
+     */
+    record Drain(String node, String why, boolean force) implements Command {}
 
-    record Undrain(String node) implements Wish {}
+    /** Ends the drain of a node. */
+    record Undrain(String node) implements Command {}
 
-    record Leave() implements Wish {}
+    /** Closes the console. */
+    record Leave() implements Command {}
 
-    private Mode mode = Mode.LOOK;
+    private Mode mode = Mode.BROWSE;
     private Sort sort = Sort.NODE;
     private String filter = "";
-    private String text = "";
+    private String input = "";
     private String selected = "";
     private String lastDrained = "";
     private String message = "";
     private boolean paused;
     private View view = View.EMPTY;
 
-    /** Takes a new frame, unless the operator holds the picture still. */
-    void show(View next) {
+    /** Replaces the shown status, unless the operator has paused the screen. */
+    void update(View next) {
         if (!paused) {
             view = next;
         }
@@ -64,17 +75,17 @@
         return view;
     }
 
-    /** The nodes that pass the filter, as sorted. */
-    List<View.Node> nodes() {
+    /** The nodes that match the filter, in sort order. */
+    List<View.Node> visibleNodes() {
         return view.nodes().stream()
                 .filter(node -> node.id().contains(filter) || node.state().contains(filter))
                 .sorted(sort.order.thenComparing(View.Node::id))
                 .toList();
     }
 
-    /** Where the chosen node is in {@link #nodes}; 0 where it is not. */
-    int at() {
-        List<View.Node> nodes = nodes();
+    /** The index of the selected node in {@link #visibleNodes}; 0 where it is not among them. */
+    int selectedIndex() {
+        List<View.Node> nodes = visibleNodes();
         for (int i = 0; i < nodes.size(); i++) {
             if (nodes.get(i).id().equals(selected)) {
                 return i;
@@ -83,38 +94,41 @@
         return 0;
     }
 
-    private Optional<String> chosen() {
-        List<View.Node> nodes = nodes();
-        return nodes.isEmpty() ? Optional.empty() : Optional.of(nodes.get(at()).id());
+    private Optional<String> selectedNode() {
+        List<View.Node> nodes = visibleNodes();
+        return nodes.isEmpty() ? Optional.empty() : Optional.of(nodes.get(selectedIndex()).id());
     }
 
-    private void move(int by) {
-        List<View.Node> nodes = nodes();
+    private void moveSelection(int rows) {
+        List<View.Node> nodes = visibleNodes();
         if (!nodes.isEmpty()) {
-            selected = nodes.get(Math.max(0, Math.min(nodes.size() - 1, at() + by))).id();
+            selected =
+                    nodes.get(Math.max(0, Math.min(nodes.size() - 1, selectedIndex() + rows))).id();
         }
     }
 
-    void tell(String what) {
-        message = what;
+    void setMessage(String text) {
+        message = text;
     }
 
-    /** Takes a key: a letter, or a name such as {@code up}, {@code page up} or {@code escape}. */
-    Optional<Wish> key(String key) {
+    /**
+     * Handles a key: a character, or a name such as {@code up}, {@code page up} or {@code escape}.
+     */
+    Optional<Command> handleKey(String key) {
         return switch (mode) {
-            case LOOK -> look(key);
+            case BROWSE -> browse(key);
             case HELP -> {
-                mode = Mode.LOOK;
+                mode = Mode.BROWSE;
                 yield Optional.empty();
             }
             case FILTER -> {
-                if (edited(key)) {
-                    filter = text;
+                if (editInput(key)) {
+                    filter = input;
                 }
                 yield Optional.empty();
             }
             case REASON -> {
-                if (edited(key)) {
+                if (editInput(key)) {
                     mode = Mode.CONFIRM;
                 }
                 yield Optional.empty();
@@ -123,32 +137,33 @@
         };
     }
 
-    private Optional<Wish> look(String key) {
+    private Optional<Command> browse(String key) {
         message = "";
         switch (key) {
-            case "up", "k" -> move(-1);
-            case "down", "j" -> move(1);
-            case "page up" -> move(-10);
-            case "page down" -> move(10);
-            case "home" -> move(Integer.MIN_VALUE / 2);
-            case "end" -> move(Integer.MAX_VALUE / 2);
+            case "up", "k" -> moveSelection(-1);
+            case "down", "j" -> moveSelection(1);
+            case "page up" -> moveSelection(-10);
+            case "page down" -> moveSelection(10);
+            case "home" -> moveSelection(Integer.MIN_VALUE / 2);
+            case "end" -> moveSelection(Integer.MAX_VALUE / 2);
             case "s" -> sort = Sort.values()[(sort.ordinal() + 1) % Sort.values().length];
             case "p", " " -> paused = !paused;
             case "?", "h" -> mode = Mode.HELP;
             case "/" -> {
                 mode = Mode.FILTER;
-                text = filter;
+                input = filter;
             }
             case "escape" -> filter = "";
             case "d" -> {
-                if (chosen().isPresent()) {
-                    selected = chosen().get(); // it stays this one, whatever the order becomes
+                if (selectedNode().isPresent()) {
+                    // fixed now: later frames may move another node to this row
+                    selected = selectedNode().get();
                     mode = Mode.REASON;
-                    text = "";
+                    input = "";
                 }
             }
             case "u" -> {
-                return chosen().map(Undrain::new);
+                return selectedNode().map(Undrain::new);
             }
             case "z" -> {
                 if (!lastDrained.isEmpty()) {
@@ -164,8 +179,8 @@
         return Optional.empty();
     }
 
-    private Optional<Wish> confirm(String key) {
-        mode = Mode.LOOK;
+    private Optional<Command> confirm(String key) {
+        mode = Mode.BROWSE;
         if (!key.equals("y") && !key.equals("f")) {
             message = "not drained";
             return Optional.empty();
@@ -175,19 +190,20 @@
             return Optional.empty();
         }
         lastDrained = selected;
-        return Optional.of(new Drain(selected, text, key.equals("f")));
+        return Optional.of(new Drain(selected, input, key.equals("f")));
     }
 
-    /** Takes a key of a line of text; true once the line is ended. */
-    private boolean edited(String key) {
+    /** Applies a key to the input line; true once enter has completed it. */
+    private boolean editInput(String key) {
         switch (key) {
             case "enter" -> {
-                mode = Mode.LOOK;
+                mode = Mode.BROWSE;
                 return true;
             }
-            case "escape" -> mode = Mode.LOOK;
-            case "backspace" -> text = text.isEmpty() ? "" : text.substring(0, text.length() - 1);
-            default -> text += key.length() == 1 && text.length() < MOST_TEXT ? key : "";
+            case "escape" -> mode = Mode.BROWSE;
+            case "backspace" ->
+                    input = input.isEmpty() ? "" : input.substring(0, input.length() - 1);
+            default -> input += key.length() == 1 && input.length() < MAX_TEXT_LENGTH ? key : "";
         }
         return false;
     }
@@ -200,16 +216,16 @@
         return sort;
     }
 
-    boolean paused() {
+    boolean isPaused() {
         return paused;
     }
 
-    /** The line at the bottom. */
+    /** The bottom line: the input, the question, the last message, or the most used keys. */
     String prompt() {
         return switch (mode) {
-            case FILTER -> "filter: " + text + "_   enter takes it, escape leaves it";
+            case FILTER -> "filter: " + input + "_   enter takes it, escape leaves it";
             case REASON ->
-                    "drain " + selected + ", why? " + text + "_   enter goes on, escape leaves it";
+                    "drain " + selected + ", why? " + input + "_   enter goes on, escape leaves it";
             case CONFIRM ->
                     "drain " + selected + "?  y yes, f also if it alone holds its shard, else no";
             default ->
--- a/src/main/java/cypressglade/console/Screen.java
+++ b/src/main/java/cypressglade/console/Screen.java
@@ -5,98 +5,121 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The screen as lines, each just as wide as the terminal, for any size from 40x10 up. */
+/**
+ * Lays out the screen as lines, each as wide as the terminal and as many as it is high. Terminals
+ * smaller than {@link #MIN_WIDTH} by {@link #MIN_HEIGHT} get a screen of that size.
+ */
 final class Screen {
-    static final int LEAST_WIDTH = 40;
-    static final int LEAST_HEIGHT = 10;
-    private static final int LOWER_SHARE = 3;
-    private static final int LEAST_NODES = 3;
-    private static final int OTHER_COLUMNS = 61;
-
-    /** What a line is, for its colour. */
-    enum Look {
+    /** In columns. */
+    static final int MIN_WIDTH = 40;
+
+    /** In lines. */
+    static final int MIN_HEIGHT = 10;
+
+    /** The tables below the nodes get at most the screen's height divided by this. */
+    private static final int LOWER_PART_DIVISOR = 3;
+
+    private static final int MIN_NODE_ROWS = 3;
+
+    /** The width of a node's row without its name. */
+    private static final int OTHER_COLUMNS_WIDTH = 61;
+
+    /** The style of a line, which decides its colour. */
+    enum Style {
         PLAIN,
         TITLE,
         HEADING,
-        CHOSEN,
-        BAD,
-        CARE,
-        QUIET
+        SELECTED,
+        ERROR,
+        WARNING,
+        SECONDARY
     }
 
-    /** A line of the screen. */
-    record Line(String text, Look look) {}
+    /**
+     * A line of the screen.
+     *
+     * @param text as many characters as the screen is wide
+     */
+    record Line(String text, Style style) {}
 
     private final int width;
     private final int height;
     private final List<Line> lines = new ArrayList<>();
 
     private Screen(int width, int height) {
-        this.width = Math.max(LEAST_WIDTH, width);
-        this.height = Math.max(LEAST_HEIGHT, height);
+        this.width = Math.max(MIN_WIDTH, width);
+        this.height = Math.max(MIN_HEIGHT, height);
     }
 
-    /** Draws; {@code state} tells of the connection. */
-    static List<Line> draw(Desk desk, String state, int width, int height) {
+    /**
+     * Lays out the whole screen.
+     *
+     * @param connectionState shown in the title
+     * @param width in columns
+     * @param height in lines
+     */
+    static List<Line> draw(ConsoleModel model, String connectionState, int width, int height) {
         Screen screen = new Screen(width, height);
-        screen.title(desk, state);
-        if (desk.mode() == Desk.Mode.HELP) {
+        screen.title(model, connectionState);
+        if (model.mode() == ConsoleModel.Mode.HELP) {
             screen.help();
         } else {
-            screen.nodes(desk);
-            screen.lower(desk.view());
+            screen.nodes(model);
+            screen.queuesRefusalsAndEvents(model.view());
         }
         screen.fill();
-        screen.lines.set(screen.height - 1, screen.line(desk.prompt(), Look.TITLE));
+        screen.lines.set(screen.height - 1, screen.line(model.prompt(), Style.TITLE));
         return screen.lines;
     }
 
-    private Line line(String text, Look look) {
+    private Line line(String text, Style style) {
         String cut = text.length() > width ? text.substring(0, width - 1) + "…" : text;
-        return new Line(cut + " ".repeat(width - cut.length()), look);
+        return new Line(cut + " ".repeat(width - cut.length()), style);
     }
 
-    private void add(String text, Look look) {
+    private void add(String text, Style style) {
         if (lines.size() < height - 1) {
-            lines.add(line(text, look));
+            lines.add(line(text, style));
         }
     }
 
-    private void title(Desk desk, String state) {
-        Map<String, Long> counters = desk.view().counters();
+    private void title(ConsoleModel model, String connectionState) {
+        Map<String, Long> counters = model.view().counters();
         add(
                 String.format(
                         "cypressglade  %s%s  served %d  refused %d  failed %d  nodes %d",
-                        state,
-                        desk.paused() ? "  PAUSED" : "",
+                        connectionState,
+                        model.isPaused() ? "  PAUSED" : "",
                         counters.getOrDefault("answered_served", 0L),
                         counters.getOrDefault("answered_refused", 0L),
                         counters.getOrDefault("answered_failed", 0L),
-                        desk.view().nodes().size()),
-                Look.TITLE);
+                        model.view().nodes().size()),
+                Style.TITLE);
     }
 
-    private void nodes(Desk desk) {
-        int name = Math.max(12, Math.min(40, width - OTHER_COLUMNS));
-        String format = "%-" + name + "s %5s %-15s %8s %13s %5s %8s";
+    private void nodes(ConsoleModel model) {
+        int nameWidth = Math.max(12, Math.min(40, width - OTHER_COLUMNS_WIDTH));
+        String format = "%-" + nameWidth + "s %5s %-15s %8s %13s %5s %8s";
         add(
                 String.format(
                         format,
-                        head(desk, Desk.Sort.NODE),
+                        heading(model, ConsoleModel.Sort.NODE),
                         "SHARD",
-                        head(desk, Desk.Sort.STATE),
-                        head(desk, Desk.Sort.PACE),
-                        head(desk, Desk.Sort.OUT) + "/BOUND",
-                        head(desk, Desk.Sort.HELD),
+                        heading(model, ConsoleModel.Sort.STATE),
+                        heading(model, ConsoleModel.Sort.SERVICE_TIME),
+                        heading(model, ConsoleModel.Sort.IN_FLIGHT) + "/BOUND",
+                        heading(model, ConsoleModel.Sort.QUEUED),
                         "ANSWERED"),
-                Look.HEADING);
-        List<View.Node> nodes = desk.nodes();
-        int room = Math.max(LEAST_NODES, height - 3 - below(desk.view()));
-        int from = Math.max(0, Math.min(desk.at() - room / 2, nodes.size() - room));
-        for (int i = from; i < Math.min(nodes.size(), from + room); i++) {
+                Style.HEADING);
+        List<View.Node> nodes = model.visibleNodes();
+        int rows = Math.max(MIN_NODE_ROWS, height - 3 - lowerPartHeight(model.view()));
+        int from = Math.max(0, Math.min(model.selectedIndex() - rows / 2, nodes.size() - rows));
+        for (int i = from; i < Math.min(nodes.size(), from + rows); i++) {
             View.Node node = nodes.get(i);
             String id =
-                    node.id().length() > name ? node.id().substring(0, name - 1) + "…" : node.id();
+                    node.id().length() > nameWidth
+                            ? node.id().substring(0, nameWidth - 1) + "…"
+                            : node.id();
             add(
                     String.format(
                             Locale.ROOT,
@@ -105,25 +128,26 @@
                             node.shard(),
                             node.state(),
                             String.format(Locale.ROOT, "%.2f", node.msPerUnit()),
-                            String.format(Locale.ROOT, "%.1f/%.1f", node.unitsOut(), node.bound()),
-                            node.held(),
+                            String.format(
+                                    Locale.ROOT, "%.1f/%.1f", node.inFlightUnits(), node.bound()),
+                            node.queued(),
                             ago(node.answeredAgoMs())),
-                    i == desk.at() ? Look.CHOSEN : look(node.state()));
+                    i == model.selectedIndex() ? Style.SELECTED : styleOfState(node.state()));
         }
-        for (int i = Math.min(nodes.size(), room); i < room; i++) {
-            add("", Look.PLAIN);
+        for (int i = Math.min(nodes.size(), rows); i < rows; i++) {
+            add("", Style.PLAIN);
         }
     }
 
-    private static String head(Desk desk, Desk.Sort sort) {
-        return sort.heading + (desk.sort() == sort ? "*" : "");
+    private static String heading(ConsoleModel model, ConsoleModel.Sort sort) {
+        return sort.heading + (model.sort() == sort ? "*" : "");
     }
 
-    private static Look look(String state) {
+    private static Style styleOfState(String state) {
         return switch (state) {
-            case "silent" -> Look.BAD;
-            case "ready" -> Look.PLAIN;
-            default -> Look.CARE;
+            case "silent" -> Style.ERROR;
+            case "ready" -> Style.PLAIN;
+            default -> Style.WARNING;
         };
     }
 
@@ -135,28 +159,32 @@
                         : ms < 600_000 ? ms / 1000 + " s" : ms / 60_000 + " min";
     }
 
-    /** Lines under the nodes: headings, what is held beside what was refused, and events. */
-    private int below(View view) {
+    /** Lines below the nodes: two headings, queued beside refused requests, and events. */
+    private int lowerPartHeight(View view) {
         return Math.min(
-                height / LOWER_SHARE,
-                2 + Math.max(view.queues().size(), view.givenUp().size()) + view.events().size());
+                height / LOWER_PART_DIVISOR,
+                2
+                        + Math.max(view.queues().size(), view.rejections().size())
+                        + view.events().size());
     }
 
-    private void lower(View view) {
-        int left = width / 2;
-        int room = below(view) - 2;
-        List<String> held =
+    private void queuesRefusalsAndEvents(View view) {
+        int leftWidth = width / 2;
+        int rows = lowerPartHeight(view) - 2;
+        List<String> queued =
                 view.queues().stream()
                         .map(
                                 queue ->
                                         String.format(
                                                 "%-20s %6d %8s",
                                                 queue.name(),
-                                                queue.held(),
-                                                queue.held() == 0 ? "-" : queue.oldestMs() + " ms"))
+                                                queue.queued(),
+                                                queue.queued() == 0
+                                                        ? "-"
+                                                        : queue.oldestMs() + " ms"))
                         .toList();
         List<String> refused =
-                view.givenUp().entrySet().stream()
+                view.rejections().entrySet().stream()
                         .filter(reason -> reason.getValue() > 0)
                         .sorted(Map.Entry.<String, Long>comparingByValue().reversed())
                         .map(
@@ -164,27 +192,27 @@
                                         String.format(
                                                 "%-20s %10d", reason.getKey(), reason.getValue()))
                         .toList();
-        add(pad("HELD, BY CLASS          OLDEST", left) + "REFUSED, BY REASON", Look.HEADING);
-        int tables =
+        add(pad("HELD, BY CLASS          OLDEST", leftWidth) + "REFUSED, BY REASON", Style.HEADING);
+        int tableRows =
                 Math.min(
-                        Math.max(held.size(), refused.size()),
-                        Math.max(1, room - Math.min(3, room / 2)));
-        for (int i = 0; i < tables; i++) {
+                        Math.max(queued.size(), refused.size()),
+                        Math.max(1, rows - Math.min(3, rows / 2)));
+        for (int i = 0; i < tableRows; i++) {
             add(
-                    pad(i < held.size() ? held.get(i) : "", left)
+                    pad(i < queued.size() ? queued.get(i) : "", leftWidth)
                             + (i < refused.size() ? refused.get(i) : ""),
-                    Look.PLAIN);
+                    Style.PLAIN);
         }
         add(
                 "EVENTS"
                         + (view.members().isEmpty()
                                 ? ""
                                 : "          SCHEDULERS: " + String.join(", ", view.members())),
-                Look.HEADING);
-        int most = Math.max(0, room - tables);
+                Style.HEADING);
+        int maxEvents = Math.max(0, rows - tableRows);
         List<String> events = view.events();
-        events.subList(Math.max(0, events.size() - most), events.size())
-                .forEach(event -> add(event, Look.QUIET));
+        events.subList(Math.max(0, events.size() - maxEvents), events.size())
+                .forEach(event -> add(event, Style.SECONDARY));
     }
 
     private static String pad(String text, int width) {
@@ -211,13 +239,13 @@
                         "and holds though the node list says that the node is active.",
                         "",
                         "any key goes back")) {
-            add(row, Look.PLAIN);
+            add(row, Style.PLAIN);
         }
     }
 
     private void fill() {
         while (lines.size() < height) {
-            lines.add(line("", Look.PLAIN));
+            lines.add(line("", Style.PLAIN));
         }
     }
 }
--- a/src/main/java/cypressglade/console/View.java
+++ b/src/main/java/cypressglade/console/View.java
@@ -6,32 +6,54 @@
 import java.util.List;
 import java.util.Map;
 
-/** A frame of the control socket, as the console wants it. */
+/**
+ * One status frame of the control socket, as the console shows it. Fields that a frame lacks are
+ * zero or empty.
+ *
+ * @param rejections number of rejected requests by reason
+ * @param counters values by the counters' names
+ * @param events one line each, the oldest first
+ * @param members name and state of each scheduler of the fleet
+ */
 record View(
         List<Node> nodes,
         List<Queue> queues,
-        Map<String, Long> givenUp,
+        Map<String, Long> rejections,
         Map<String, Long> counters,
         List<String> events,
         List<String> members) {
     static final View EMPTY =
             new View(List.of(), List.of(), Map.of(), Map.of(), List.of(), List.of());
 
-    /** A storage node. */
+    /**
+     * A storage node.
+     *
+     * @param msPerUnit service time in milliseconds for one cost unit
+     * @param inFlightUnits cost units of the attempts without an answer yet
+     * @param bound maximum of the cost units in flight
+     * @param queued requests that wait for this node
+     * @param answeredAgoMs milliseconds since the last answer; negative before the first
+     */
     record Node(
             String id,
             int shard,
             String state,
             double msPerUnit,
-            double unitsOut,
+            double inFlightUnits,
             double bound,
-            int held,
+            int queued,
             long answeredAgoMs) {}
 
-    /** Work that is held of one class. */
-    record Queue(String name, int held, long oldestMs) {}
+    /**
+     * The queued requests of one class.
+     *
+     * @param name of the class
+     * @param queued number of requests
+     * @param oldestMs how long the oldest has waited, in milliseconds
+     */
+    record Queue(String name, int queued, long oldestMs) {}
 
-    static View of(JsonNode frame) {
+    static View parse(JsonNode frame) {
         List<Node> nodes = new ArrayList<>();
         for (JsonNode node : frame.path("nodes")) {
             nodes.add(
@@ -57,7 +79,9 @@
         for (JsonNode event : frame.path("events")) {
             StringBuilder line =
                     new StringBuilder(
-                            time(event.path("at").asText()) + "  " + event.path("event").asText());
+                            timeOfDay(event.path("at").asText())
+                                    + "  "
+                                    + event.path("event").asText());
             event.properties()
                     .forEach(
                             field -> {
@@ -83,7 +107,7 @@
                 members);
     }
 
-    private static String time(String instant) {
+    private static String timeOfDay(String instant) {
         return instant.length() < 19 ? instant : instant.substring(11, 19);
     }
 
--- a/src/test/java/cypressglade/console/ScreenTest.java
+++ b/src/test/java/cypressglade/console/ScreenTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import cypressglade.console.Desk.Mode;
+import cypressglade.console.ConsoleModel.Mode;
 import cypressglade.console.Screen.Line;
-import cypressglade.console.Screen.Look;
+import cypressglade.console.Screen.Style;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -17,7 +17,7 @@
 
 /** What the console shows and what its keys do, without a terminal. */
 class ScreenTest {
-    private final Desk desk = new Desk();
+    private final ConsoleModel model = new ConsoleModel();
 
     private static View view(int nodes) {
         return new View(
@@ -42,33 +42,30 @@
     }
 
     private List<Line> draw(int width, int height) {
-        return Screen.draw(desk, "connected", width, height);
+        return Screen.draw(model, "connected", width, height);
     }
 
     private String text() {
         return String.join("\n", draw(120, 40).stream().map(Line::text).toList());
     }
 
-    private Optional<Desk.Wish> keys(String... keys) {
-        Optional<Desk.Wish> wish = Optional.empty();
+    private Optional<ConsoleModel.Command> keys(String... keys) {
+        Optional<ConsoleModel.Command> command = Optional.empty();
         for (String key : keys) {
-            wish = desk.key(key);
+            command = model.handleKey(key);
         }
-        return wish;
+        return command;
     }
 
-    /**
-     * From the least terminal to the widest, with none to many nodes: as many lines as it has, each
-     * as wide.
-     */
+    /** Sizes from the smallest terminal to a wide one, with none to many nodes. */
     @Test
-    void everySizeIsFilledExactly() {
+    void everyScreenSizeIsFilledExactly() {
         for (int nodes : new int[] {0, 1, 10, 500}) {
-            desk.show(view(nodes));
+            model.update(view(nodes));
             for (int[] size :
                     new int[][] {{40, 10}, {80, 24}, {100, 30}, {160, 50}, {300, 100}, {41, 11}}) {
                 for (String mode : List.of("none", "?", "?")) {
-                    desk.key(mode);
+                    model.handleKey(mode);
                     assertThat(draw(size[0], size[1]))
                             .hasSize(size[1])
                             .allMatch(line -> line.text().length() == size[0]);
@@ -79,7 +76,7 @@
 
     @Test
     void screenShowsNodesQueuesRefusalsAndEvents() {
-        desk.show(view(5));
+        model.update(view(5));
         assertThat(text())
                 .contains(
                         "s-003",
@@ -92,24 +89,24 @@
                         "b suspect")
                 .doesNotContain("limit");
         assertThat(draw(80, 24))
-                .filteredOn(line -> line.look() == Look.BAD)
+                .filteredOn(line -> line.style() == Style.ERROR)
                 .singleElement()
                 .matches(line -> line.text().startsWith("s-003"));
         assertThat(draw(80, 24))
-                .filteredOn(line -> line.look() == Look.CHOSEN)
+                .filteredOn(line -> line.style() == Style.SELECTED)
                 .singleElement()
                 .matches(line -> line.text().startsWith("s-000"));
     }
 
-    /** Guards against a choice that scrolls out of sight. */
+    /** Guards against a selected node that scrolls out of sight. */
     @Test
-    void chosenNodeIsAlwaysInSight() {
-        desk.show(view(500));
+    void selectedNodeIsAlwaysVisible() {
+        model.update(view(500));
         for (String key : List.of("end", "page up", "up", "home", "page down", "down", "j", "k")) {
-            desk.key(key);
+            model.handleKey(key);
             for (int height : new int[] {10, 24, 50}) {
                 assertThat(draw(80, height))
-                        .filteredOn(line -> line.look() == Look.CHOSEN)
+                        .filteredOn(line -> line.style() == Style.SELECTED)
                         .hasSize(1);
             }
         }
@@ -123,25 +120,29 @@
         "escape, false, false",
         "enter, false, false"
     })
-    void drainAsksWhyAndForAYes(String answer, boolean force, boolean drained) {
-        desk.show(view(5));
-        Optional<Desk.Wish> wish = keys("down", "d", "b", "a", "d", "backspace", "enter", answer);
-        assertThat(wish)
+    void drainAsksForAReasonAndAConfirmation(String answer, boolean force, boolean drained) {
+        model.update(view(5));
+        Optional<ConsoleModel.Command> command =
+                keys("down", "d", "b", "a", "d", "backspace", "enter", answer);
+        assertThat(command)
                 .isEqualTo(
                         drained
-                                ? Optional.of(new Desk.Drain("s-001", "ba", force))
+                                ? Optional.of(new ConsoleModel.Drain("s-001", "ba", force))
                                 : Optional.empty());
-        assertThat(desk.mode()).isEqualTo(Mode.LOOK);
+        assertThat(model.mode()).isEqualTo(Mode.BROWSE);
         assertThat(keys("z"))
-                .isEqualTo(drained ? Optional.of(new Desk.Undrain("s-001")) : Optional.empty());
+                .isEqualTo(
+                        drained
+                                ? Optional.of(new ConsoleModel.Undrain("s-001"))
+                                : Optional.empty());
     }
 
-    /** Guards against an order on whichever node has moved to the place of the chosen one. */
+    /** Guards against draining a node that has moved to the selected node's row meanwhile. */
     @Test
-    void orderIsOnTheNodeThatWasChosenThoughTheListMoves() {
-        desk.show(view(5));
+    void drainActsOnTheSelectedNodeAlthoughTheListChanges() {
+        model.update(view(5));
         keys("down", "down", "d", "enter");
-        desk.show(
+        model.update(
                 new View(
                         view(5).nodes().subList(1, 5),
                         List.of(),
@@ -149,32 +150,37 @@
                         Map.of(),
                         List.of(),
                         List.of()));
-        assertThat(desk.key("y")).contains(new Desk.Drain("s-002", "", false));
+        assertThat(model.handleKey("y")).contains(new ConsoleModel.Drain("s-002", "", false));
         keys("d", "enter");
-        desk.show(view(1));
-        assertThat(desk.key("y")).isEmpty();
-        assertThat(desk.prompt()).contains("s-002 has left");
+        model.update(view(1));
+        assertThat(model.handleKey("y")).isEmpty();
+        assertThat(model.prompt()).contains("s-002 has left");
     }
 
     @Test
-    void filterSortPauseAndLeave() {
-        desk.show(view(20));
+    void filterSortPauseAndLeaveKeysWork() {
+        model.update(view(20));
         keys("/", "s", "i", "l", "enter");
-        assertThat(desk.nodes()).extracting(View.Node::state).containsOnly("silent").hasSize(3);
+        assertThat(model.visibleNodes())
+                .extracting(View.Node::state)
+                .containsOnly("silent")
+                .hasSize(3);
         keys("escape", "s", "s");
-        assertThat(desk.nodes()).hasSize(20).isSortedAccordingTo(Desk.Sort.PACE.order);
+        assertThat(model.visibleNodes())
+                .hasSize(20)
+                .isSortedAccordingTo(ConsoleModel.Sort.SERVICE_TIME.order);
         keys("p");
-        desk.show(view(1));
-        assertThat(desk.nodes()).hasSize(20);
+        model.update(view(1));
+        assertThat(model.visibleNodes()).hasSize(20);
         keys("p");
-        desk.show(view(1));
-        assertThat(desk.nodes()).hasSize(1);
-        assertThat(keys("q")).contains(new Desk.Leave());
+        model.update(view(1));
+        assertThat(model.visibleNodes()).hasSize(1);
+        assertThat(keys("q")).contains(new ConsoleModel.Leave());
     }
 
-    /** Whatever is typed, in whatever order frames come: it draws, and drains only after a yes. */
+    /** Random keys and frames: the screen can always be drawn, and a drain needs a confirmation. */
     @Test
-    void anyKeysDrawAndDrainOnlyAfterAYes() {
+    void randomKeysNeverDrainWithoutAConfirmation() {
         SplittableRandom random = new SplittableRandom(4);
         List<String> keys =
                 List.of(
@@ -200,30 +206,30 @@
                         " none",
                         "end of input");
         for (int i = 0; i < 20_000; i++) {
-            Mode before = desk.mode();
+            Mode before = model.mode();
             String key = keys.get(random.nextInt(keys.size()));
-            Optional<Desk.Wish> wish = desk.key(key);
+            Optional<ConsoleModel.Command> command = model.handleKey(key);
             assertThat(
-                            wish.filter(Desk.Drain.class::isInstance).isEmpty()
+                            command.filter(ConsoleModel.Drain.class::isInstance).isEmpty()
                                     || before == Mode.CONFIRM
                                             && (key.equals("y") || key.equals("f")))
                     .isTrue();
             if (i % 10 == 0) {
-                desk.show(view(random.nextInt(12)));
+                model.update(view(random.nextInt(12)));
                 assertThat(draw(80, 24)).hasSize(24);
             }
         }
     }
 
     @Test
-    void framesAreReadAndWhatIsMissingIsEmpty() throws Exception {
+    void framesAreParsedAndMissingFieldsAreEmpty() throws Exception {
         String event =
                 "{\"number\":1,\"at\":\"2026-01-01T12:34:56.789Z\","
                         + "\"event\":\"drain.done\",\"node\":\"a\"}";
         String frame = "{\"nodes\":[{\"id\":\"a\",\"us_a_unit\":1500}],\"events\":[" + event + "]}";
-        View view = View.of(new ObjectMapper().readTree(frame));
+        View view = View.parse(new ObjectMapper().readTree(frame));
         assertThat(view.nodes().get(0).msPerUnit()).isEqualTo(1.5);
         assertThat(view.events()).containsExactly("12:34:56  drain.done  node=a");
-        assertThat(View.of(new ObjectMapper().readTree("{}"))).isEqualTo(View.EMPTY);
+        assertThat(View.parse(new ObjectMapper().readTree("{}"))).isEqualTo(View.EMPTY);
     }
 }
