--- a/src/main/java/cypressglade/snapshot/SnapshotStore.java
+++ b/src/main/java/cypressglade/snapshot/SnapshotStore.java
@@ -107,7 +107,7 @@
      *
      * @param body at most 16 MiB; {@link #read} rejects a longer one
      * @param wall the time of writing
-     * @throws IOException where a step fails; the files that were complete stay
+     * @throws IOException where a step fails; if there was a complete snapshot, there still is one
      */
     public void write(byte[] body, Instant wall) throws IOException {
         ByteBuffer file =
