--- a/src/main/java/cypressglade/cli/Serve.java
+++ b/src/main/java/cypressglade/cli/Serve.java
@@ -2,7 +2,7 @@
 
 import cypressglade.config.Budget;
 import cypressglade.config.Config;
-import cypressglade.control.Control;
+import cypressglade.control.ControlService;
 import cypressglade.core.Counters;
 import cypressglade.core.Engine;
 import cypressglade.core.Micros;
@@ -17,9 +17,9 @@
 import cypressglade.member.Member;
 import cypressglade.nbd.NbdListener;
 import cypressglade.nbd.NbdNodeLink;
-import cypressglade.net.Loop;
+import cypressglade.net.EventLoop;
 import cypressglade.net.NodePool;
-import cypressglade.operate.HandDrains;
+import cypressglade.operate.ManualDrains;
 import cypressglade.peer.Peers;
 import cypressglade.peer.PeersConfig;
 import cypressglade.share.Verdicts.Verdict;
@@ -73,7 +73,7 @@
     private volatile Config config;
     private volatile OperatorFiles files;
     private final Counters counters = new Counters();
-    private final Loop loop;
+    private final EventLoop loop;
     private final Engine engine;
     private final RequestPool pool;
     private final ClientListener clients;
@@ -83,7 +83,7 @@
     private final Optional<NbdNodeLink> nbdNodes;
     private final Optional<NbdListener> blockClients;
     private final Optional<Peers> peers;
-    private final Optional<Control> control;
+    private final Optional<ControlService> control;
     private final Optional<Doorway> door;
     private final Optional<DoubtFile> doubts;
     private final AtomicLong evacuations = new AtomicLong();
@@ -96,7 +96,7 @@
     public Serve(Config config, OperatorFiles files) throws IOException {
         this.config = config;
         this.files = files;
-        loop = new Loop();
+        loop = new EventLoop();
         NodeDirectory directory = new NodeDirectory();
         engine = new Engine(config.settings(), directory, counters, files.storms());
         doubts = files.storms().flatMap(StormSettings::uncertainWriteDirectory).map(DoubtFile::new);
@@ -119,7 +119,7 @@
                         nbdNodes.isPresent() && nbdNodes.get().isNbdNode(directory.findReady(node))
                                 ? nbdNodes.get()
                                 : nodes);
-        HandDrains drains = new HandDrains(engine::updateNodes, this::decided);
+        ManualDrains drains = new ManualDrains(engine::updateNodes, this::decided);
         peers =
                 files.peers()
                         .map(
@@ -134,7 +134,7 @@
                 files.control().isEmpty()
                         ? Optional.empty()
                         : Optional.of(
-                                new Control(
+                                new ControlService(
                                         files.control().get(),
                                         engine,
                                         counters,
@@ -179,7 +179,7 @@
                 control.isPresent()
                         || door.isPresent()
                         || peers.filter(Peers::sharesLimits).isPresent();
-        Consumer<NodeList> lists = byHand ? drains::told : engine::updateNodes;
+        Consumer<NodeList> lists = byHand ? drains::updateNodes : engine::updateNodes;
         lists.accept(config.known());
         discovery =
                 new DiscoveryWatch(
@@ -237,10 +237,11 @@
     /** Hands each part its values of a configuration, by how many processes share its limits. */
     private void deal(Config shared) {
         Budget budget = shared.budget().among(processes);
-        clients.use(shared.settings(), budget);
+        clients.applySettings(shared.settings(), budget);
         pool.resize(budget.requests(), budget.threads());
-        nodes.use(budget.answerBytes(), shared.settings().loadNames());
-        connections.use(shared.connectTimeout(), shared.idleLimit(), budget.nodeConnections());
+        nodes.reconfigure(budget.answerBytes(), shared.settings().loadNames());
+        connections.reconfigure(
+                shared.connectTimeout(), shared.idleLimit(), budget.nodeConnections());
     }
 
     /** An operator decided something here: the fleet hears of it, where one shares verdicts. */
@@ -249,8 +250,8 @@
     }
 
     /** What was decided at another member, or here in a former life. */
-    private void ruled(Verdict verdict, HandDrains drains) {
-        if (drains.rule(
+    private void ruled(Verdict verdict, ManualDrains drains) {
+        if (drains.applyDecision(
                 verdict.subject(), verdict.action(), verdict.issuer(), verdict.issuedAt())) {
             return;
         }
@@ -281,7 +282,7 @@
         }
         door.ifPresent(Doorway::start);
         try {
-            discovery.awaitFirst(FIRST_LIST);
+            discovery.awaitFirstList(FIRST_LIST);
         } catch (InterruptedException stopped) {
             Thread.currentThread().interrupt();
         }
@@ -317,15 +318,15 @@
         long turn = evacuations.incrementAndGet();
         evacuated = away;
         if (away) {
-            loop.after(
+            loop.executeAfter(
                     FRONT_TURNED,
                     () -> {
                         if (evacuations.get() == turn) {
-                            clients.leave();
+                            clients.startDraining();
                         }
                     });
         } else {
-            clients.stay();
+            clients.stopDraining();
         }
     }
 
@@ -341,7 +342,7 @@
     public void use(Config next, OperatorFiles files) {
         engine.applySettings(next.settings());
         deal(next);
-        discovery.use(next.discovery(), next.nodeLists());
+        discovery.reconfigure(next.discovery(), next.nodeLists());
         if (files.nbd().isPresent() && blockClients.isPresent()) {
             nbdNodes.get().reconfigure(files.nbd().get());
             blockClients.get().reconfigure(files.nbd().get(), next.settings());
@@ -383,7 +384,7 @@
 
     /** Connections of clients that are open, or are being closed in order. */
     public int connected() {
-        return clients.connected();
+        return clients.connectionCount();
     }
 
     public Counters counters() {
@@ -404,7 +405,7 @@
         }
         doubts.ifPresent(kept -> kept.close(engine));
         peers.ifPresent(Peers::close);
-        control.ifPresent(Control::close);
+        control.ifPresent(ControlService::close);
         door.ifPresent(Doorway::close);
     }
 
@@ -419,10 +420,10 @@
                 told.plus(longest.compareTo(MOST_COUNTED) < 0 ? longest : MOST_COUNTED)
                         .plus(BEFORE_THE_KILL);
         if (door.filter(Doorway::relieved).isPresent()) {
-            clients.leavePort();
+            clients.stopAccepting();
         }
         blockClients.ifPresent(NbdListener::refuseHandshakes);
-        clients.answerBy(served);
+        clients.setAnswerDeadline(served);
         if (blockClients.isPresent()) {
             Instant refused = told.plus(SERVE_ON);
             Thread.sleep(
@@ -434,13 +435,14 @@
                 System.Logger.Level.INFO,
                 "stopping: {0} requests open, {1} clients connected",
                 pool.openCount(),
-                clients.connected());
-        clients.end();
+                clients.connectionCount());
+        clients.startShutdown();
         pool.stopAll(); // those from before the signal may have longer to go than the program has
         while (pool.openCount() > 0 && MonotonicClock.now().isBefore(served.plus(LINGER))) {
             Thread.sleep(LOOK.toMillis());
         }
-        while (clients.connected() > 0 && MonotonicClock.now().isBefore(served.plus(LINGER))) {
+        while (clients.connectionCount() > 0
+                && MonotonicClock.now().isBefore(served.plus(LINGER))) {
             Thread.sleep(LOOK.toMillis());
         }
         Thread.sleep(SETTLE.toMillis());
@@ -450,7 +452,7 @@
     public void close() {
         door.ifPresent(Doorway::close);
         peers.ifPresent(Peers::close);
-        control.ifPresent(Control::close);
+        control.ifPresent(ControlService::close);
         clients.close();
         blockClients.ifPresent(NbdListener::close);
         pool.close();
--- a/src/main/java/cypressglade/nbd/ClientHandshake.java
+++ b/src/main/java/cypressglade/nbd/ClientHandshake.java
@@ -1,6 +1,6 @@
 package cypressglade.nbd;
 
-import cypressglade.net.Wire;
+import cypressglade.net.Connection;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -10,12 +10,12 @@
  * where the node supports them. Opens the export by {@code NBD_OPT_GO}, or by {@code
  * NBD_OPT_EXPORT_NAME} where the node does not know that option. Runs on the I/O thread.
  */
-final class ClientHandshake implements Wire.Listener {
+final class ClientHandshake implements Connection.Listener {
     private static final int MAX_OPTION_REPLY_BYTES = 64 * 1024;
     // NBD_OPT_GO without the export name: name length and number of information requests.
     private static final int GO_FIXED_BYTES = 6;
 
-    private final Wire wire;
+    private final Connection wire;
     private final NbdConfig.Export export;
     private final Runnable onReady;
     private final Runnable onFailure;
@@ -25,7 +25,8 @@
     private boolean isComplete;
     private boolean omitsZeroes;
 
-    ClientHandshake(Wire wire, NbdConfig.Export export, Runnable onReady, Runnable onFailure) {
+    ClientHandshake(
+            Connection wire, NbdConfig.Export export, Runnable onReady, Runnable onFailure) {
         this.wire = wire;
         this.export = export;
         this.onReady = onReady;
--- a/src/main/java/cypressglade/nbd/NbdListener.java
+++ b/src/main/java/cypressglade/nbd/NbdListener.java
@@ -10,9 +10,9 @@
 import cypressglade.core.Responder;
 import cypressglade.core.Scheduler.Settings;
 import cypressglade.nbd.NbdConfig.Export;
-import cypressglade.net.Listening;
-import cypressglade.net.Loop;
-import cypressglade.net.Wire;
+import cypressglade.net.Connection;
+import cypressglade.net.EventLoop;
+import cypressglade.net.ListeningSocket;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -29,7 +29,7 @@
     private static final int MAX_CLIENTS = 12;
     private static final Duration HANDSHAKE_TIMEOUT = Duration.ofSeconds(10);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private volatile NbdConfig config;
     private volatile Settings settings;
     private final Engine engine;
@@ -37,8 +37,8 @@
     private final Counters counters;
     private final RequestPool pool;
     private final NodeLink<NodeCommand> link;
-    private final Listening listening;
-    private final Set<Wire> clients = new HashSet<>();
+    private final ListeningSocket listening;
+    private final Set<Connection> clients = new HashSet<>();
     private volatile boolean refusingHandshakes;
     private volatile boolean refusingCommands;
 
@@ -48,7 +48,7 @@
      * @throws IOException if the address cannot be bound
      */
     public NbdListener(
-            Loop loop,
+            EventLoop loop,
             NbdConfig config,
             Settings settings,
             Engine engine,
@@ -94,7 +94,7 @@
         listening.close();
     }
 
-    private void accept(Wire wire) {
+    private void accept(Connection wire) {
         if (clients.size() >= MAX_CLIENTS) {
             wire.close();
             return;
@@ -107,7 +107,7 @@
                         this::isDraining,
                         (export, structured) -> new Transmission(this, wire, export, structured),
                         () -> removeClient(wire));
-        loop.after(
+        loop.executeAfter(
                 HANDSHAKE_TIMEOUT,
                 () -> {
                     if (!handshake.isComplete()) {
@@ -124,7 +124,7 @@
                                 .anyMatch(extent -> directory.isDraining(extent.shard()));
     }
 
-    void removeClient(Wire wire) {
+    void removeClient(Connection wire) {
         clients.remove(wire);
     }
 
--- a/src/main/java/cypressglade/nbd/NbdNodeLink.java
+++ b/src/main/java/cypressglade/nbd/NbdNodeLink.java
@@ -4,8 +4,8 @@
 import cypressglade.core.NodeDirectory;
 import cypressglade.core.NodeLink;
 import cypressglade.core.Scheduler.Status;
+import cypressglade.net.Connection;
 import cypressglade.net.NodePool;
-import cypressglade.net.Wire;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -89,8 +89,8 @@
         }
 
         @Override
-        protected void prepare(Wire connection, Runnable onReady, Runnable onFailure) {
-            connection.listen(new ClientHandshake(connection, export, onReady, onFailure));
+        protected void prepare(Connection connection, Runnable onReady, Runnable onFailure) {
+            connection.readInto(new ClientHandshake(connection, export, onReady, onFailure));
         }
     }
 
@@ -124,7 +124,7 @@
         }
 
         @Override
-        protected boolean reusable() {
+        protected boolean isReusable() {
             return true;
         }
 
@@ -143,7 +143,7 @@
             super(
                     node,
                     config.exports().get(0),
-                    MonotonicClock.now().plus(NodePool.PROBE_LIMIT),
+                    MonotonicClock.now().plus(NodePool.PROBE_TIMEOUT),
                     () -> true,
                     ended);
         }
@@ -171,12 +171,12 @@
         }
 
         @Override
-        protected Optional<Status> readToEnd() {
+        protected Optional<Status> readEndOfStream() {
             return Optional.of(Status.OK);
         }
 
         @Override
-        protected boolean reusable() {
+        protected boolean isReusable() {
             return false;
         }
 
--- a/src/main/java/cypressglade/nbd/ServerHandshake.java
+++ b/src/main/java/cypressglade/nbd/ServerHandshake.java
@@ -1,7 +1,7 @@
 package cypressglade.nbd;
 
 import cypressglade.nbd.NbdConfig.Export;
-import cypressglade.net.Wire;
+import cypressglade.net.Connection;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -12,7 +12,7 @@
  * The server side of a client's handshake in fixed newstyle: answers options until the client opens
  * an export, then hands the connection over to the transmission phase. Runs on the I/O thread.
  */
-final class ServerHandshake implements Wire.Listener {
+final class ServerHandshake implements Connection.Listener {
     // Longer options break the connection.
     private static final int MAX_OPTION_BYTES = 1 << 20;
     // Name length, name, number of information requests, and up to 1024 of those.
@@ -20,7 +20,7 @@
     private static final int PREFERRED_BLOCK_BYTES = 4096;
     private static final byte[] NO_DATA = {};
 
-    private final Wire wire;
+    private final Connection wire;
     private final NbdConfig config;
     private final Predicate<Optional<Export>> isDraining;
     private final TransmissionFactory transmissions;
@@ -29,11 +29,11 @@
     private boolean fixedNewstyle;
     private boolean omitsZeroes;
     private boolean structured;
-    private Wire.Listener transmission;
+    private Connection.Listener transmission;
 
     /** Creates the listener for the transmission phase on an export. */
     interface TransmissionFactory {
-        Wire.Listener create(Export export, boolean structured);
+        Connection.Listener create(Export export, boolean structured);
     }
 
     /**
@@ -45,7 +45,7 @@
      * @param onDisconnect runs if the connection ends during the handshake
      */
     ServerHandshake(
-            Wire wire,
+            Connection wire,
             NbdConfig config,
             Predicate<Optional<Export>> isDraining,
             TransmissionFactory transmissions,
@@ -56,7 +56,7 @@
         this.transmissions = transmissions;
         this.onDisconnect = onDisconnect;
         sections.expect(4, this::handleClientFlags);
-        wire.listen(this);
+        wire.readInto(this);
         wire.send(
                 ByteBuffer.allocate(NbdProtocol.GREETING_BYTES)
                         .putLong(NbdProtocol.NBDMAGIC)
@@ -76,7 +76,7 @@
     public void received(ByteBuffer in) throws IOException {
         sections.feed(in);
         if (transmission != null) {
-            wire.listen(transmission);
+            wire.readInto(transmission);
             transmission.received(in);
         }
     }
--- a/src/main/java/cypressglade/nbd/Transmission.java
+++ b/src/main/java/cypressglade/nbd/Transmission.java
@@ -8,7 +8,7 @@
 import cypressglade.core.Responder;
 import cypressglade.core.Scheduler.Settings;
 import cypressglade.nbd.NbdConfig.Export;
-import cypressglade.net.Wire;
+import cypressglade.net.Connection;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.time.Duration;
@@ -25,7 +25,7 @@
  * The transmission phase of one client on one export; each command gets exactly one reply. Runs on
  * the I/O thread.
  */
-final class Transmission implements Wire.Listener {
+final class Transmission implements Connection.Listener {
     /**
      * Longest read or write. Longer ones are rejected with an error, and the data of a longer write
      * is skipped.
@@ -42,7 +42,7 @@
     private static final Duration REPLY_MARGIN = Duration.ofMillis(20);
 
     private final NbdListener listener;
-    private final Wire wire;
+    private final Connection wire;
     private final Export export;
     private final boolean structured;
     private final SectionReader sections = new SectionReader();
@@ -55,7 +55,7 @@
     /** A node that may have received a write of this client. */
     private record WrittenNode(int shard, long node) {}
 
-    Transmission(NbdListener listener, Wire wire, Export export, boolean structured) {
+    Transmission(NbdListener listener, Connection wire, Export export, boolean structured) {
         this.listener = listener;
         this.wire = wire;
         this.export = export;
@@ -67,7 +67,7 @@
     public void received(ByteBuffer in) throws IOException {
         sections.feed(in);
         if (sections.isPaused() && !isClosing) {
-            wire.pause();
+            wire.pauseReading();
             unread = ByteBuffer.allocate(in.remaining()).put(in).flip();
         }
     }
@@ -91,7 +91,7 @@
         if (isClosing
                 || !sections.isPaused()
                 || pendingCommands >= MAX_PENDING_COMMANDS
-                || wire.unsent() > MAX_UNSENT_BYTES) {
+                || wire.unsentBytes() > MAX_UNSENT_BYTES) {
             return;
         }
         sections.resume();
@@ -100,7 +100,7 @@
         try {
             received(buffered);
             if (!sections.isPaused() && !isClosing) {
-                wire.listen(this);
+                wire.readInto(this);
             }
         } catch (IOException invalid) {
             ended();
@@ -152,7 +152,7 @@
     }
 
     private void pauseIfFull() {
-        if (pendingCommands >= MAX_PENDING_COMMANDS || wire.unsent() > MAX_UNSENT_BYTES) {
+        if (pendingCommands >= MAX_PENDING_COMMANDS || wire.unsentBytes() > MAX_UNSENT_BYTES) {
             sections.pause();
         }
     }
--- a/src/main/java/cypressglade/peer/Peers.java
+++ b/src/main/java/cypressglade/peer/Peers.java
@@ -17,8 +17,8 @@
 import cypressglade.member.RecentMembers;
 import cypressglade.member.ReplayGuard;
 import cypressglade.member.Swim;
-import cypressglade.net.Datagrams;
-import cypressglade.net.Loop;
+import cypressglade.net.EventLoop;
+import cypressglade.net.UdpSocket;
 import cypressglade.peer.PeersConfig.Network;
 import cypressglade.peer.SealedMessage.Fault;
 import cypressglade.peer.SealedMessage.RejectedException;
@@ -84,7 +84,7 @@
     private static final int MAX_SHORT_REPLIES = 50;
 
     private final PeersConfig config;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Engine engine;
     private final Counters counters;
     private final SecureRandom random = new SecureRandom();
@@ -114,14 +114,14 @@
     private Swim swim;
     private Optional<View> view = Optional.empty();
     private Optional<SharingProtocol<InetSocketAddress>> sharing = Optional.empty();
-    private Datagrams datagrams;
+    private UdpSocket datagrams;
     private TransferServer transferServer;
     private TransferClient transferClient;
     private int shortReplies;
     private boolean closed;
 
     /** Creates the peers without a listener for verdicts. */
-    public Peers(PeersConfig config, Loop loop, Engine engine, Counters counters) {
+    public Peers(PeersConfig config, EventLoop loop, Engine engine, Counters counters) {
         this(config, loop, engine, counters, verdict -> {});
     }
 
@@ -133,7 +133,7 @@
      */
     public Peers(
             PeersConfig config,
-            Loop loop,
+            EventLoop loop,
             Engine engine,
             Counters counters,
             Consumer<Verdict> verdictListener) {
@@ -444,7 +444,7 @@
             TransferServer server =
                     new TransferServer(loop, listen, random, this::transferRequested);
             try {
-                datagrams = loop.datagrams(server.address(), this::datagramReceived);
+                datagrams = loop.openUdpSocket(server.address(), this::datagramReceived);
                 transferServer = server;
             } catch (IOException bindFailed) {
                 server.close();
@@ -676,7 +676,7 @@
     private void handleDatagram(InetSocketAddress from, byte[] datagram) {
         counters.add(Name.PEER_MESSAGES);
         try {
-            if (datagram.length > Datagrams.MOST_BYTES) {
+            if (datagram.length > UdpSocket.MAX_DATAGRAM_BYTES) {
                 throw new RejectedException(Fault.BODY);
             }
             Envelope envelope = Codec.decodeEnvelope(SealedMessage.open(keys, datagram));
@@ -856,7 +856,7 @@
         return verdictStore
                 .flatMap(
                         file ->
-                                file.newest(
+                                file.readNewest(
                                         Instant.now(),
                                         SnapshotStore.ANY_AGE,
                                         found -> Codec.decodeVerdicts(found.body()),
@@ -864,7 +864,7 @@
                 .orElse(List.of());
     }
 
-    private void snapshotIgnored(SnapshotStore.Found found, String fault) {
+    private void snapshotIgnored(SnapshotStore.SnapshotFile found, String fault) {
         counters.add(Name.SNAPSHOTS_IGNORED);
         LOG.log(Level.WARNING, "ignored snapshot {0}: {1}", found.file(), fault);
     }
@@ -946,7 +946,7 @@
         learnedStore
                 .flatMap(
                         file ->
-                                file.newest(
+                                file.readNewest(
                                         Instant.now(),
                                         config.snapshots().get().maxAge(),
                                         this::decodeObservations,
@@ -954,7 +954,8 @@
                 .ifPresent(observations -> learner.receive(observations, MonotonicClock.now()));
     }
 
-    private List<NodeObservation> decodeObservations(SnapshotStore.Found found) throws IOException {
+    private List<NodeObservation> decodeObservations(SnapshotStore.SnapshotFile found)
+            throws IOException {
         return Codec.decodeSnapshot(found.body(), config.name(), found.age(), MonotonicClock.now())
                 .orElseThrow(() -> new IOException("written by an instance of another name"));
     }
--- a/src/main/java/cypressglade/peer/TransferClient.java
+++ b/src/main/java/cypressglade/peer/TransferClient.java
@@ -2,8 +2,8 @@
 
 import cypressglade.core.MonotonicClock;
 import cypressglade.member.Member;
-import cypressglade.net.Loop;
-import cypressglade.net.Wire;
+import cypressglade.net.Connection;
+import cypressglade.net.EventLoop;
 import cypressglade.peer.SealedMessage.Fault;
 import cypressglade.peer.SealedMessage.RejectedException;
 import java.io.IOException;
@@ -27,7 +27,7 @@
     /** Maximum duration of a transfer, from the start of the connection. */
     static final Duration TIMEOUT = Duration.ofSeconds(2);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Optional<InetSocketAddress> local;
     private final Executor owner;
     private final SecureRandom random;
@@ -57,7 +57,7 @@
      * @param keys supplies the key ring that is valid at the moment of the call
      */
     TransferClient(
-            Loop loop,
+            EventLoop loop,
             Optional<InetSocketAddress> local,
             Executor owner,
             SecureRandom random,
@@ -75,12 +75,12 @@
     }
 
     /** One transfer. The I/O thread owns the connection, the owner's thread the contents. */
-    private final class Pull implements Wire.Listener {
+    private final class Pull implements Connection.Listener {
         private final int maxObservations;
         private final Listener listener;
         private final FrameCodec frames = new FrameCodec(this::handleFrame);
-        private Loop.Dial dial;
-        private Wire wire;
+        private EventLoop.PendingConnection dial;
+        private Connection wire;
         private boolean closed;
         // Used only by the owner's thread.
         private Instant requestedAt;
@@ -94,9 +94,9 @@
         }
 
         void start(InetSocketAddress from) {
-            loop.after(TIMEOUT, () -> fail("no answer in time"));
+            loop.executeAfter(TIMEOUT, () -> fail("no answer in time"));
             dial =
-                    loop.dial(
+                    loop.connect(
                             local,
                             from,
                             opened -> {
@@ -105,7 +105,7 @@
                                     return;
                                 }
                                 wire = opened;
-                                wire.listen(this);
+                                wire.readInto(this);
                             },
                             () -> fail("could not connect"));
         }
--- a/src/main/java/cypressglade/peer/TransferServer.java
+++ b/src/main/java/cypressglade/peer/TransferServer.java
@@ -1,8 +1,8 @@
 package cypressglade.peer;
 
-import cypressglade.net.Listening;
-import cypressglade.net.Loop;
-import cypressglade.net.Wire;
+import cypressglade.net.Connection;
+import cypressglade.net.EventLoop;
+import cypressglade.net.ListeningSocket;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -22,11 +22,11 @@
     private static final int MAX_CONNECTIONS = 4;
     private static final Duration MAX_CONNECTION_TIME = Duration.ofSeconds(3);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final SecureRandom random;
     private final Handler handler;
-    private final Listening listening;
-    private final Set<Wire> open = new HashSet<>();
+    private final ListeningSocket listening;
+    private final Set<Connection> open = new HashSet<>();
 
     /** Answers requests. Called on the I/O thread, which it must not block. */
     interface Handler {
@@ -39,30 +39,30 @@
      */
     interface Reply extends Consumer<List<byte[]>> {}
 
-    TransferServer(Loop loop, InetSocketAddress listen, SecureRandom random, Handler handler)
+    TransferServer(EventLoop loop, InetSocketAddress listen, SecureRandom random, Handler handler)
             throws IOException {
         this.loop = loop;
         this.random = random;
         this.handler = handler;
         listening = loop.listen(listen, this::accepted);
-        listening.bound(MAX_CONNECTIONS);
+        listening.setMaxConnections(MAX_CONNECTIONS);
     }
 
     InetSocketAddress address() {
         return listening.address();
     }
 
-    private void accepted(Wire wire) {
+    private void accepted(Connection wire) {
         Session session = new Session(wire);
         open.add(wire);
-        wire.listen(session);
+        wire.readInto(session);
         wire.send(FrameCodec.encode(FrameCodec.nonce(session.nonce)));
         // Guards against clients that send nothing, or do not read the answer.
-        loop.after(MAX_CONNECTION_TIME, () -> close(wire));
+        loop.executeAfter(MAX_CONNECTION_TIME, () -> close(wire));
     }
 
     /** Closes a connection; the only place that does. */
-    private void close(Wire wire) {
+    private void close(Connection wire) {
         if (open.remove(wire)) {
             wire.close();
         }
@@ -74,13 +74,13 @@
         loop.execute(() -> List.copyOf(open).forEach(this::close));
     }
 
-    private final class Session implements Wire.Listener {
-        private final Wire wire;
+    private final class Session implements Connection.Listener {
+        private final Connection wire;
         private final long nonce = random.nextLong();
         private final FrameCodec frames = new FrameCodec(this::handleFrame);
         private boolean hasRequest;
 
-        Session(Wire wire) {
+        Session(Connection wire) {
             this.wire = wire;
         }
 
--- a/src/test/java/cypressglade/http/LoadReportTest.java
+++ b/src/test/java/cypressglade/http/LoadReportTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What answers tell beside themselves, read as the module's figures; what cannot be read tells
- * nothing.
+ * Load report headers converted to the scheduling policy's figures; unreadable figures count as
+ * absent.
  */
 class LoadReportTest {
     private static final List<String> NAMES = List.of("queue", "latency_ms");
@@ -28,18 +28,20 @@
             NaN   | 7d   | 0  | 0
             99999 | 5    | 65535 | 5
             """)
-    void useAndUnitsByOthers(String volumeLoad, String otherHosts, int used, int byOthers) {
-        NodeLink.ResponseMetadata told = new LoadReport(volumeLoad, otherHosts, "").told(NAMES);
-        assertThat(told.usePercentPlusOne()).isEqualTo(used);
-        assertThat(told.unitsByOthers()).isEqualTo(byOthers);
-        assertThat(told.load()).isEmpty();
+    void useAndUnitsByOthersAreParsedOrZero(
+            String volumeLoad, String otherHosts, int usePercentPlusOne, int unitsByOthers) {
+        NodeLink.ResponseMetadata metadata =
+                new LoadReport(volumeLoad, otherHosts, "").toResponseMetadata(NAMES);
+        assertThat(metadata.usePercentPlusOne()).isEqualTo(usePercentPlusOne);
+        assertThat(metadata.unitsByOthers()).isEqualTo(unitsByOthers);
+        assertThat(metadata.load()).isEmpty();
     }
 
     @Test
-    void loadIsTakenByTheNamesOfTheSettingsInTheirOrder() {
+    void loadFiguresHaveTheOrderOfTheSettingsNames() {
         assertThat(
                         new LoadReport("", "", "TEXT latency_ms=41.5, inflight=7, queue=2")
-                                .told(NAMES)
+                                .toResponseMetadata(NAMES)
                                 .load())
                 .containsExactly(2f, 41.5f);
     }
@@ -55,22 +57,25 @@
             TEXT queue=2; latency_ms=4
             ''
             """)
-    void aReportThatIsNotWholeTellsNoLoad(String metrics) {
-        assertThat(new LoadReport("", "", metrics).told(NAMES).load()).isEmpty();
+    void incompleteReportGivesNoLoad(String metrics) {
+        assertThat(new LoadReport("", "", metrics).toResponseMetadata(NAMES).load()).isEmpty();
     }
 
     @Test
-    void namesAreTakenWhateverTheirCase() {
+    void namesAreMatchedIgnoringCase() {
         assertThat(
                         new LoadReport("", "", "text Queue=2, LATENCY_MS=4")
-                                .told(List.of("queue", "Latency_ms"))
+                                .toResponseMetadata(List.of("queue", "Latency_ms"))
                                 .load())
                 .containsExactly(2f, 4f);
     }
 
     @Test
-    void aNameToldTwiceCountsOnce() {
-        assertThat(new LoadReport("", "", "TEXT queue=2, queue=9, latency_ms=4").told(NAMES).load())
+    void firstValueOfARepeatedNameCounts() {
+        assertThat(
+                        new LoadReport("", "", "TEXT queue=2, queue=9, latency_ms=4")
+                                .toResponseMetadata(NAMES)
+                                .load())
                 .containsExactly(2f, 4f);
     }
 }
