--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
 CONFIG ?= deploy/config.example.json
 
-.PHONY: build test lint run clean measure-learning measure-console measure-fleet-view measure-fleet-limits \
+.PHONY: build test lint format run clean measure-learning measure-console measure-fleet-view measure-fleet-limits \
 	measure-storms
 
 define measure
@@ -14,9 +14,13 @@
 test:
 	mvn -B verify
 
-# The compiler's warnings are errors; line lengths and sizes of files are checked with them.
+# The compiler's warnings are errors; layout, naming, line lengths and sizes of files are checked with them.
 lint:
-	mvn -B -q clean test-compile surefire:test -Dtest=SourceLimitsTest
+	mvn -B -q clean test-compile spotless:check checkstyle:check@lint-check surefire:test -Dtest=SourceLimitsTest
+
+# Lays all Java out by google-java-format (AOSP style).
+format:
+	mvn -B -q spotless:apply
 
 run: build
 	ROUTER_CONFIG=$(CONFIG) sh deploy/run.sh
