--- a/src/main/java/cypressglade/lab/ShareLab.java
+++ b/src/main/java/cypressglade/lab/ShareLab.java
@@ -155,8 +155,8 @@
                             .getOrDefault(
                                     key,
                                     key.equals(NODE)
-                                            ? granted.otherColdNodeShare()
-                                            : granted.otherVolumeShare())
+                                            ? granted.otherColdNodesShare()
+                                            : granted.otherVolumesShare())
                     : terms.minShare();
         }
 
--- a/src/main/java/cypressglade/peer/Peers.java
+++ b/src/main/java/cypressglade/peer/Peers.java
@@ -804,8 +804,8 @@
                     new LimitAllocation(
                             volumes,
                             cold,
-                            allocation.otherVolumeShare(),
-                            allocation.otherColdNodeShare(),
+                            allocation.otherVolumesShare(),
+                            allocation.otherColdNodesShare(),
                             settings.minShare(),
                             settings.windowStart(allocation.window() + 1)));
         }
--- a/src/main/java/cypressglade/peer/SharingJson.java
+++ b/src/main/java/cypressglade/peer/SharingJson.java
@@ -22,7 +22,7 @@
                 view.putObject("limits")
                         .put("window", allocation.window())
                         .put("agreed_among", allocation.agreedMembers())
-                        .put("rest", allocation.otherVolumeShare())
+                        .put("rest", allocation.otherVolumesShare())
                         .put("turned_away", shared.rejected());
         ObjectNode shares = limits.putObject("parts");
         new TreeMap<>(allocation.shares()).forEach(shares::put);
--- a/src/main/java/cypressglade/share/Allocation.java
+++ b/src/main/java/cypressglade/share/Allocation.java
@@ -8,16 +8,16 @@
  * @param window number of the window, as {@link SharingSettings#windowAt} counts
  * @param shares this member's share by key ({@link ShareKey}), over 0 and at most 1, for each key
  *     in the reports of the agreed members
- * @param otherVolumeShare share of each volume that is not in {@code shares}
- * @param otherColdNodeShare share of each cold node that is not in {@code shares}
+ * @param otherVolumesShare share of each volume that is not in {@code shares}
+ * @param otherColdNodesShare share of each cold node that is not in {@code shares}
  * @param agreedMembers how many members reported the same set of live members; 0 if there is no
  *     agreement, in which case every share is the floor
  */
 public record Allocation(
         long window,
         Map<String, Double> shares,
-        double otherVolumeShare,
-        double otherColdNodeShare,
+        double otherVolumesShare,
+        double otherColdNodesShare,
         int agreedMembers) {
     /** Copies the shares. */
     public Allocation {
--- a/src/main/java/cypressglade/share/SharingProtocol.java
+++ b/src/main/java/cypressglade/share/SharingProtocol.java
@@ -350,7 +350,7 @@
         isStale = false;
         Allocation current = calculator.allocation(currentWindow);
         Map<String, Double> shares = new HashMap<>(current.shares());
-        double otherColdNodeShare = current.otherVolumeShare();
+        double otherColdNodesShare = current.otherVolumesShare();
         for (long window = currentWindow - coldSpanWindows; window < currentWindow; window++) {
             Allocation earlier = calculator.allocation(window);
             Set<String> keys = new TreeSet<>(shares.keySet());
@@ -360,19 +360,19 @@
                     shares.put(
                             key,
                             Math.min(
-                                    shares.getOrDefault(key, otherColdNodeShare),
+                                    shares.getOrDefault(key, otherColdNodesShare),
                                     earlier.shares()
-                                            .getOrDefault(key, earlier.otherVolumeShare())));
+                                            .getOrDefault(key, earlier.otherVolumesShare())));
                 }
             }
-            otherColdNodeShare = Math.min(otherColdNodeShare, earlier.otherVolumeShare());
+            otherColdNodesShare = Math.min(otherColdNodesShare, earlier.otherVolumesShare());
         }
         Allocation next =
                 new Allocation(
                         currentWindow,
                         shares,
-                        current.otherVolumeShare(),
-                        otherColdNodeShare,
+                        current.otherVolumesShare(),
+                        otherColdNodesShare,
                         current.agreedMembers());
         if (!next.equals(allocation)) {
             allocation = next;
