--- a/src/main/java/cypressglade/core/Engine.java
+++ b/src/main/java/cypressglade/core/Engine.java
@@ -139,9 +139,9 @@
         this.stormSettings = stormSettings;
         this.stormFilter =
                 stormSettings.map(
-                        terms ->
+                        presentSettings ->
                                 new RetryStormFilter(
-                                        terms,
+                                        presentSettings,
                                         settings,
                                         coldWindow,
                                         counters,
@@ -487,11 +487,11 @@
                 }
             } catch (InterruptedException interrupted) {
                 return;
-            } catch (RuntimeException fault) {
+            } catch (RuntimeException failure) {
                 // A fault in one event must not cost other requests their answers; the request of
                 // this event is still answered by its deadline.
                 counters.add(Counters.Name.MODULE_FAULTS);
-                LOG.log(System.Logger.Level.ERROR, "the scheduling policy failed", fault);
+                LOG.log(System.Logger.Level.ERROR, "the scheduling policy failed", failure);
             }
         }
     }
--- a/src/main/java/cypressglade/core/RequestTask.java
+++ b/src/main/java/cypressglade/core/RequestTask.java
@@ -164,14 +164,14 @@
         hasRun = true;
         try {
             runAttempts();
-        } catch (RuntimeException | Error fault) {
-            log.record(responder.requestId(), Event.CUT_OFF, "its task failed: " + fault);
+        } catch (RuntimeException | Error failure) {
+            log.record(responder.requestId(), Event.CUT_OFF, "its task failed: " + failure);
             // The client is owed an answer all the same.
             if (!isAnswered) {
                 fail();
                 engine.withdraw(this, false);
             }
-            throw fault;
+            throw failure;
         } finally {
             pool.release(this);
         }
@@ -213,7 +213,7 @@
                 log.record(
                         responder.requestId(),
                         Event.STOPPED,
-                        "an attempt was out at node " + send.node());
+                        "an attempt was in flight at node " + send.node());
                 fail();
             }
             engine.attemptEnded(
@@ -240,10 +240,12 @@
             log.record(
                     responder.requestId(),
                     Event.REFUSED,
-                    "by the module, to come again after " + refuse.retryAfter().toMillis() + " ms");
+                    "by the scheduling policy, retry after "
+                            + refuse.retryAfter().toMillis()
+                            + " ms");
             responder.refuse(refuse.retryAfter());
         } else if (signal instanceof Fail) {
-            log.record(responder.requestId(), Event.FAILED, "by the module");
+            log.record(responder.requestId(), Event.FAILED, "by the scheduling policy");
             fail();
         } else if (signal instanceof Stop) {
             finishAtStop();
@@ -252,7 +254,10 @@
             engine.withdraw(this, false);
         } else if (signal instanceof Overdue) {
             counters.add(Name.ANSWERED_BY_DEADLINE);
-            log.record(responder.requestId(), Event.BY_DEADLINE, "the module had not said a word");
+            log.record(
+                    responder.requestId(),
+                    Event.BY_DEADLINE,
+                    "the scheduling policy had not decided");
             responder.fail();
             engine.withdraw(this, false);
         } else {
@@ -266,7 +271,7 @@
      * promises that it did not run.
      */
     private void finishAtStop() {
-        log.record(responder.requestId(), Event.STOPPED, "no attempt was out");
+        log.record(responder.requestId(), Event.STOPPED, "no attempt was in flight");
         if (hasRun) {
             fail();
         } else {
--- a/src/main/java/cypressglade/core/RetryStormFilter.java
+++ b/src/main/java/cypressglade/core/RetryStormFilter.java
@@ -38,7 +38,7 @@
     private static final Duration ATTEMPT_BUDGET_WINDOW = Duration.ofSeconds(1);
 
     private final Counters counters;
-    private final RetryAdmission storms;
+    private final RetryAdmission admission;
     private final Duration coldWindow;
     private Settings settings;
 
@@ -49,21 +49,22 @@
      * @param now by {@link MonotonicClock}
      */
     RetryStormFilter(
-            StormSettings terms,
+            StormSettings stormSettings,
             Settings settings,
             Duration coldWindow,
             Counters counters,
             Instant now) {
         this.counters = counters;
         this.coldWindow = coldWindow;
-        storms = new RetryAdmission(terms, new SplittableRandom(settings.seed()), this, now);
+        admission =
+                new RetryAdmission(stormSettings, new SplittableRandom(settings.seed()), this, now);
         applySettings(settings);
     }
 
     /** Takes new settings; earlier decisions, such as retry slots given to clients, stay valid. */
     void applySettings(Settings next) {
         settings = next;
-        storms.setMaxRetryDelay(
+        admission.setMaxRetryDelay(
                 next.limits().mayAdviseRetry()
                         ? Micros.toDuration(next.limits().maxRetryAfterUs())
                         : Duration.ZERO);
@@ -71,13 +72,15 @@
 
     /** Whether this instance's further attempts must keep to {@link #withAttemptBudget} now. */
     boolean isAttemptBudgetActive() {
-        return storms.shouldLimitAttempts();
+        return admission.shouldLimitAttempts();
     }
 
     /** The settings with a budget of further attempts, unless they have one already. */
-    static Settings withAttemptBudget(Settings base, StormSettings terms) {
+    static Settings withAttemptBudget(Settings base, StormSettings stormSettings) {
         return base.withAttemptBudget(
-                FREE_ATTEMPTS_PER_WINDOW, terms.retryRatio(), Micros.of(ATTEMPT_BUDGET_WINDOW));
+                FREE_ATTEMPTS_PER_WINDOW,
+                stormSettings.retryRatio(),
+                Micros.of(ATTEMPT_BUDGET_WINDOW));
     }
 
     /**
@@ -86,7 +89,7 @@
      */
     boolean tryReject(RequestTask<?> task, IoRequest request, Instant now) {
         task.stormRequest = toStormRequest(request);
-        RetryAdmission.Decision decision = storms.admit(task.stormRequest, now);
+        RetryAdmission.Decision decision = admission.admit(task.stormRequest, now);
         switch (decision.outcome()) {
             case TURNED_AWAY -> task.signal(new RequestTask.Refuse(decision.retryAfter()));
             case IN_DOUBT -> task.signal(new RequestTask.Fail());
@@ -98,12 +101,12 @@
     }
 
     void served(RequestTask<?> task, Instant now) {
-        storms.recordServed(task.stormRequest, now);
+        admission.recordServed(task.stormRequest, now);
     }
 
     /** Reports that the policy refuses a request; returns when its client is to send it again. */
     Duration refused(RequestTask<?> task, Duration advice, Instant now) {
-        return storms.scheduleRetry(task.stormRequest, advice, now);
+        return admission.scheduleRetry(task.stormRequest, advice, now);
     }
 
     /**
@@ -114,20 +117,20 @@
      */
     void recordIfUncertain(RequestTask<?> task, boolean isInFlight, Instant now) {
         if (task.stormRequest != null && (isInFlight || task.mayHaveRun)) {
-            storms.uncertainWrites().add(task.stormRequest, task.firstSent, now);
+            admission.uncertainWrites().add(task.stormRequest, task.firstSent, now);
         }
     }
 
     /** The attempt that was in flight when the client disconnected has ended without running. */
     void recordNeverRan(RequestTask<?> task) {
         if (task.stormRequest != null && !task.mayHaveRun) {
-            storms.uncertainWrites().remove(task.stormRequest);
+            admission.uncertainWrites().remove(task.stormRequest);
         }
     }
 
     /** The uncertain writes, serialized for the next generation of this instance. */
     byte[] uncertainWrites(Instant now) {
-        return storms.uncertainWrites().serialize(now);
+        return admission.uncertainWrites().serialize(now);
     }
 
     /**
@@ -136,8 +139,8 @@
      */
     void restoreUncertainWrites(Optional<byte[]> previous, Instant now) {
         previous.ifPresentOrElse(
-                storms.uncertainWrites()::restore,
-                () -> storms.uncertainWrites().assumeAllUncertain(now));
+                admission.uncertainWrites()::restore,
+                () -> admission.uncertainWrites().assumeAllUncertain(now));
     }
 
     /**
@@ -195,17 +198,17 @@
                                 maxUnitsPerSecond));
             }
         }
-        storms.setNodeSpeeds(speeds);
-        storms.tick(now);
+        admission.setNodeSpeeds(speeds);
+        admission.tick(now);
     }
 
     @Override
-    public void stateChanged(String place, StormDetector.State state, Instant now) {
-        LOG.log(System.Logger.Level.INFO, "{0}", StormLogLines.stateChanged(place, state, now));
+    public void stateChanged(String scope, StormDetector.State state, Instant now) {
+        LOG.log(System.Logger.Level.INFO, "{0}", StormLogLines.stateChanged(scope, state, now));
     }
 
     @Override
-    public void counted(RetryAdmission.Count what) {
-        counters.add(Name.valueOf("STORM_" + what.name()));
+    public void counted(RetryAdmission.Count count) {
+        counters.add(Name.valueOf("STORM_" + count.name()));
     }
 }
--- a/src/main/java/cypressglade/core/SchedulingPolicy.java
+++ b/src/main/java/cypressglade/core/SchedulingPolicy.java
@@ -145,8 +145,8 @@
     private boolean tickScheduled;
 
     /**
-     * Creates a policy that knows no nodes yet. {@code nowUs} is in microseconds, by the clock of all
-     * later calls; {@code actions} carries out the decisions, from now on.
+     * Creates a policy that knows no nodes yet. {@code nowUs} is in microseconds, by the clock of
+     * all later calls; {@code actions} carries out the decisions, from now on.
      */
     public SchedulingPolicy(long nowUs, Settings settings, Actions actions) {
         this.actions = actions;
--- a/src/test/java/cypressglade/core/RequestTaskTest.java
+++ b/src/test/java/cypressglade/core/RequestTaskTest.java
@@ -174,7 +174,7 @@
         assertThat(answer()).isEqualTo("failed");
         cypressglade.standin.Site.await(() -> pool.openCount() == 0);
         assertThat(sent).as("nothing is sent after it").isEmpty();
-        assertThat(engine.requestLog().text()).contains("stopped: an attempt was out");
+        assertThat(engine.requestLog().text()).contains("stopped: an attempt was in flight");
     }
 
     /** Guards against a client that gets no answer because the thread of its request failed. */
