--- a/src/main/java/cypressglade/http/ClientListener.java
+++ b/src/main/java/cypressglade/http/ClientListener.java
@@ -361,7 +361,9 @@
         List.copyOf(clients.values()).stream()
                 .filter(client -> client.isIdle() && !client.wasAnswered)
                 .filter(client -> client.since.isBefore(now.minus(MIN_SILENT_TIME)))
-                .forEach(client -> closeIfIdle(client, "crowded, and silent since it came"));
+                .forEach(
+                        client ->
+                                closeIfIdle(client, "crowded, and no request since it connected"));
         List.copyOf(clients.values()).stream()
                 .filter(client -> client.isIdle() && client.wasAnswered)
                 .filter(client -> client.since.isBefore(now.minus(MIN_IDLE_TIME)))
--- a/src/main/java/cypressglade/http/LoadReport.java
+++ b/src/main/java/cypressglade/http/LoadReport.java
@@ -57,7 +57,7 @@
                 names.stream().map(one -> one.toLowerCase(Locale.ROOT)).toList();
         float[] load = new float[names.size()];
         Arrays.fill(load, Float.NaN);
-        int found = 0;
+        int foundCount = 0;
         for (String pair : text.substring(TEXT_FORMAT.length()).split(",")) {
             int separator = pair.indexOf('=');
             String name =
@@ -68,10 +68,10 @@
             double value = index < 0 ? Double.NaN : parseFigure(pair.substring(separator + 1));
             if (!Double.isNaN(value) && Float.isNaN(load[index])) {
                 load[index] = (float) value;
-                found++;
+                foundCount++;
             }
         }
-        return found == names.size() ? load : new float[0];
+        return foundCount == names.size() ? load : new float[0];
     }
 
     /**
--- a/src/main/java/cypressglade/http/NodeClient.java
+++ b/src/main/java/cypressglade/http/NodeClient.java
@@ -61,11 +61,11 @@
     @Override
     public Attempt send(
             long node,
-            NodeRequest work,
+            NodeRequest request,
             Instant deadline,
             BooleanSupplier wanted,
             Consumer<NodeLink.AttemptResult> resultConsumer) {
-        return new HttpExchange(node, work::encode, deadline, wanted, resultConsumer).start();
+        return new HttpExchange(node, request::encode, deadline, wanted, resultConsumer).start();
     }
 
     @Override
