--- a/src/main/java/cypressglade/nbd/ClientHandshake.java
+++ b/src/main/java/cypressglade/nbd/ClientHandshake.java
@@ -15,7 +15,7 @@
     // NBD_OPT_GO without the export name: name length and number of information requests.
     private static final int GO_FIXED_BYTES = 6;
 
-    private final Connection wire;
+    private final Connection connection;
     private final NbdConfig.Export export;
     private final Runnable onReady;
     private final Runnable onFailure;
@@ -26,8 +26,8 @@
     private boolean omitsZeroes;
 
     ClientHandshake(
-            Connection wire, NbdConfig.Export export, Runnable onReady, Runnable onFailure) {
-        this.wire = wire;
+            Connection connection, NbdConfig.Export export, Runnable onReady, Runnable onFailure) {
+        this.connection = connection;
         this.export = export;
         this.onReady = onReady;
         this.onFailure = onFailure;
@@ -61,14 +61,14 @@
         }
         omitsZeroes = (flags & NbdProtocol.FLAG_NO_ZEROES) != 0;
         int clientFlags = flags & (NbdProtocol.FLAG_FIXED_NEWSTYLE | NbdProtocol.FLAG_NO_ZEROES);
-        wire.send(ByteBuffer.allocate(4).putInt(clientFlags).flip());
+        connection.send(ByteBuffer.allocate(4).putInt(clientFlags).flip());
         sendOption(NbdProtocol.OPT_STRUCTURED_REPLY, ByteBuffer.allocate(0));
         sections.expect(NbdProtocol.OPTION_REPLY_HEADER_BYTES, this::handleReplyHeader);
     }
 
     private void sendOption(int number, ByteBuffer data) {
         pendingOption = number;
-        wire.send(
+        connection.send(
                 ByteBuffer.allocate(NbdProtocol.OPTION_HEADER_BYTES + data.remaining())
                         .putLong(NbdProtocol.IHAVEOPT)
                         .putInt(number)
--- a/src/main/java/cypressglade/nbd/NbdListener.java
+++ b/src/main/java/cypressglade/nbd/NbdListener.java
@@ -94,25 +94,26 @@
         listening.close();
     }
 
-    private void accept(Connection wire) {
+    private void accept(Connection connection) {
         if (clients.size() >= MAX_CLIENTS) {
-            wire.close();
+            connection.close();
             return;
         }
-        clients.add(wire);
+        clients.add(connection);
         ServerHandshake handshake =
                 new ServerHandshake(
-                        wire,
+                        connection,
                         config,
                         this::isDraining,
-                        (export, structured) -> new Transmission(this, wire, export, structured),
-                        () -> removeClient(wire));
+                        (export, structured) ->
+                                new Transmission(this, connection, export, structured),
+                        () -> removeClient(connection));
         loop.executeAfter(
                 HANDSHAKE_TIMEOUT,
                 () -> {
                     if (!handshake.isComplete()) {
-                        removeClient(wire);
-                        wire.close();
+                        removeClient(connection);
+                        connection.close();
                     }
                 });
     }
@@ -124,8 +125,8 @@
                                 .anyMatch(extent -> directory.isDraining(extent.shard()));
     }
 
-    void removeClient(Connection wire) {
-        clients.remove(wire);
+    void removeClient(Connection connection) {
+        clients.remove(connection);
     }
 
     boolean isDraining(int shard) {
--- a/src/main/java/cypressglade/nbd/ServerHandshake.java
+++ b/src/main/java/cypressglade/nbd/ServerHandshake.java
@@ -20,7 +20,7 @@
     private static final int PREFERRED_BLOCK_BYTES = 4096;
     private static final byte[] NO_DATA = {};
 
-    private final Connection wire;
+    private final Connection connection;
     private final NbdConfig config;
     private final Predicate<Optional<Export>> isDraining;
     private final TransmissionFactory transmissions;
@@ -45,19 +45,19 @@
      * @param onDisconnect runs if the connection ends during the handshake
      */
     ServerHandshake(
-            Connection wire,
+            Connection connection,
             NbdConfig config,
             Predicate<Optional<Export>> isDraining,
             TransmissionFactory transmissions,
             Runnable onDisconnect) {
-        this.wire = wire;
+        this.connection = connection;
         this.config = config;
         this.isDraining = isDraining;
         this.transmissions = transmissions;
         this.onDisconnect = onDisconnect;
         sections.expect(4, this::handleClientFlags);
-        wire.readInto(this);
-        wire.send(
+        connection.readInto(this);
+        connection.send(
                 ByteBuffer.allocate(NbdProtocol.GREETING_BYTES)
                         .putLong(NbdProtocol.NBDMAGIC)
                         .putLong(NbdProtocol.IHAVEOPT)
@@ -76,7 +76,7 @@
     public void received(ByteBuffer in) throws IOException {
         sections.feed(in);
         if (transmission != null) {
-            wire.readInto(transmission);
+            connection.readInto(transmission);
             transmission.received(in);
         }
     }
@@ -124,7 +124,7 @@
                 sendReply(option, NbdProtocol.REP_ACK, NO_DATA);
                 sections.pause();
                 onDisconnect.run();
-                wire.closeWhenSent();
+                connection.closeWhenSent();
             }
             case NbdProtocol.OPT_LIST, NbdProtocol.OPT_STRUCTURED_REPLY -> {
                 if (length > 0) {
@@ -207,7 +207,7 @@
             throw new IOException(
                     "export is unknown or draining"); // this option has no error reply
         }
-        wire.send(
+        connection.send(
                 ByteBuffer.allocate(
                                 NbdProtocol.EXPORT_NAME_REPLY_BYTES
                                         + (omitsZeroes ? 0 : NbdProtocol.EXPORT_NAME_PADDING_BYTES))
@@ -236,7 +236,7 @@
     }
 
     private void sendReply(int option, int type, byte[] data) {
-        wire.send(
+        connection.send(
                 ByteBuffer.allocate(NbdProtocol.OPTION_REPLY_HEADER_BYTES + data.length)
                         .putLong(NbdProtocol.OPTION_REPLY_MAGIC)
                         .putInt(option)
--- a/src/main/java/cypressglade/nbd/Transmission.java
+++ b/src/main/java/cypressglade/nbd/Transmission.java
@@ -42,7 +42,7 @@
     private static final Duration REPLY_MARGIN = Duration.ofMillis(20);
 
     private final NbdListener listener;
-    private final Connection wire;
+    private final Connection connection;
     private final Export export;
     private final boolean structured;
     private final SectionReader sections = new SectionReader();
@@ -55,9 +55,9 @@
     /** A node that may have received a write of this client. */
     private record WrittenNode(int shard, long node) {}
 
-    Transmission(NbdListener listener, Connection wire, Export export, boolean structured) {
+    Transmission(NbdListener listener, Connection connection, Export export, boolean structured) {
         this.listener = listener;
-        this.wire = wire;
+        this.connection = connection;
         this.export = export;
         this.structured = structured;
         sections.expect(NbdProtocol.REQUEST_HEADER_BYTES, this::handleRequest);
@@ -67,7 +67,7 @@
     public void received(ByteBuffer in) throws IOException {
         sections.feed(in);
         if (sections.isPaused() && !isClosing) {
-            wire.pauseReading();
+            connection.pauseReading();
             unread = ByteBuffer.allocate(in.remaining()).put(in).flip();
         }
     }
@@ -76,7 +76,7 @@
     public void ended() {
         isClosing = true;
         tasks.forEach(RequestTask::clientDisconnected);
-        listener.removeClient(wire);
+        listener.removeClient(connection);
     }
 
     @Override
@@ -91,7 +91,7 @@
         if (isClosing
                 || !sections.isPaused()
                 || pendingCommands >= MAX_PENDING_COMMANDS
-                || wire.unsentBytes() > MAX_UNSENT_BYTES) {
+                || connection.unsentBytes() > MAX_UNSENT_BYTES) {
             return;
         }
         sections.resume();
@@ -100,11 +100,11 @@
         try {
             received(buffered);
             if (!sections.isPaused() && !isClosing) {
-                wire.readInto(this);
+                connection.readInto(this);
             }
         } catch (IOException invalid) {
             ended();
-            wire.close();
+            connection.close();
         }
     }
 
@@ -152,14 +152,15 @@
     }
 
     private void pauseIfFull() {
-        if (pendingCommands >= MAX_PENDING_COMMANDS || wire.unsentBytes() > MAX_UNSENT_BYTES) {
+        if (pendingCommands >= MAX_PENDING_COMMANDS
+                || connection.unsentBytes() > MAX_UNSENT_BYTES) {
             sections.pause();
         }
     }
 
     private void disconnect() {
-        listener.removeClient(wire);
-        wire.closeWhenSent();
+        listener.removeClient(connection);
+        connection.closeWhenSent();
     }
 
     /**
@@ -303,7 +304,7 @@
             pendingCommands--;
             boolean read = type == NbdProtocol.CMD_READ;
             byte[] body = read && errorValue == 0 ? data : new byte[0];
-            wire.send(
+            connection.send(
                     structured
                             ? encodeChunk(errorValue, body)
                             : ByteBuffer.allocate(
