--- a/src/main/java/cypressglade/peer/Peers.java
+++ b/src/main/java/cypressglade/peer/Peers.java
@@ -114,7 +114,7 @@
     private Swim swim;
     private Optional<View> view = Optional.empty();
     private Optional<SharingProtocol<InetSocketAddress>> sharing = Optional.empty();
-    private UdpSocket datagrams;
+    private UdpSocket udpSocket;
     private TransferServer transferServer;
     private TransferClient transferClient;
     private int shortReplies;
@@ -325,7 +325,7 @@
         diskExecutor.shutdown();
         if (transferServer != null) {
             transferServer.close();
-            datagrams.close();
+            udpSocket.close();
         }
     }
 
@@ -444,7 +444,7 @@
             TransferServer server =
                     new TransferServer(loop, listen, random, this::transferRequested);
             try {
-                datagrams = loop.openUdpSocket(server.address(), this::datagramReceived);
+                udpSocket = loop.openUdpSocket(server.address(), this::datagramReceived);
                 transferServer = server;
             } catch (IOException bindFailed) {
                 server.close();
@@ -726,7 +726,7 @@
 
     private void sendShortReply(InetSocketAddress to, byte[] answer) {
         if (shortReplies++ < MAX_SHORT_REPLIES) {
-            datagrams.send(to, answer);
+            udpSocket.send(to, answer);
         }
     }
 
@@ -746,7 +746,7 @@
     }
 
     private void send(InetSocketAddress to, Optional<Message> message, Optional<Notice> notice) {
-        datagrams.send(
+        udpSocket.send(
                 to,
                 SealedMessage.seal(
                         keys,
@@ -859,14 +859,14 @@
                                 file.readNewest(
                                         Instant.now(),
                                         SnapshotStore.ANY_AGE,
-                                        found -> Codec.decodeVerdicts(found.body()),
+                                        snapshot -> Codec.decodeVerdicts(snapshot.body()),
                                         this::snapshotIgnored))
                 .orElse(List.of());
     }
 
-    private void snapshotIgnored(SnapshotStore.SnapshotFile found, String fault) {
+    private void snapshotIgnored(SnapshotStore.SnapshotFile snapshot, String reason) {
         counters.add(Name.SNAPSHOTS_IGNORED);
-        LOG.log(Level.WARNING, "ignored snapshot {0}: {1}", found.file(), fault);
+        LOG.log(Level.WARNING, "ignored snapshot {0}: {1}", snapshot.file(), reason);
     }
 
     /** Carries out what the membership asks for. */
@@ -954,9 +954,10 @@
                 .ifPresent(observations -> learner.receive(observations, MonotonicClock.now()));
     }
 
-    private List<NodeObservation> decodeObservations(SnapshotStore.SnapshotFile found)
+    private List<NodeObservation> decodeObservations(SnapshotStore.SnapshotFile snapshot)
             throws IOException {
-        return Codec.decodeSnapshot(found.body(), config.name(), found.age(), MonotonicClock.now())
+        return Codec.decodeSnapshot(
+                        snapshot.body(), config.name(), snapshot.age(), MonotonicClock.now())
                 .orElseThrow(() -> new IOException("written by an instance of another name"));
     }
 }
