--- a/src/main/java/cypressglade/cli/BanFile.java
+++ b/src/main/java/cypressglade/cli/BanFile.java
@@ -2,6 +2,7 @@
 
 import cypressglade.operate.ManualDrains;
 import cypressglade.snapshot.SnapshotStore;
+import cypressglade.snapshot.SnapshotStore.SnapshotFile;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.nio.charset.StandardCharsets;
@@ -41,7 +42,7 @@
      * Takes the bans that were kept; where the disk does not give them, {@link #look} does later.
      */
     void restore() {
-        List<SnapshotStore.SnapshotFile> found = store.read(Instant.now(), SnapshotStore.ANY_AGE);
+        List<SnapshotFile> found = store.read(Instant.now(), SnapshotStore.ANY_AGE);
         boolean unreadable =
                 found.stream().anyMatch(one -> one.fault() == SnapshotStore.Fault.UNREADABLE);
         found.stream()
@@ -116,7 +117,7 @@
                         });
     }
 
-    private static List<String> ids(SnapshotStore.SnapshotFile found) {
+    private static List<String> ids(SnapshotFile found) {
         String text = new String(found.body(), StandardCharsets.UTF_8);
         return Arrays.stream(text.split("\n")).filter(id -> !id.isBlank()).toList();
     }
--- a/src/main/java/cypressglade/cli/DoubtFile.java
+++ b/src/main/java/cypressglade/cli/DoubtFile.java
@@ -2,6 +2,7 @@
 
 import cypressglade.core.Engine;
 import cypressglade.snapshot.SnapshotStore;
+import cypressglade.snapshot.SnapshotStore.SnapshotFile;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.nio.file.Path;
@@ -39,7 +40,7 @@
                 store.readNewest(
                                 Instant.now(),
                                 SnapshotStore.ANY_AGE,
-                                SnapshotStore.SnapshotFile::body,
+                                SnapshotFile::body,
                                 (found, why) ->
                                         LOG.log(
                                                 Level.WARNING,
--- a/src/main/java/cypressglade/cli/PeersCommand.java
+++ b/src/main/java/cypressglade/cli/PeersCommand.java
@@ -11,6 +11,7 @@
 import cypressglade.member.Member;
 import cypressglade.peer.PeerReport;
 import cypressglade.peer.PeersConfig;
+import cypressglade.peer.PeersConfig.Network;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.io.StringWriter;
@@ -69,7 +70,7 @@
     @Override
     public void run(PrintStream out) throws ConfigException, IOException {
         PeersConfig config = PeersConfigParser.read(Path.of(file)).orElseThrow(this::notEnabled);
-        PeersConfig.Network talk = config.network().orElseThrow(this::alone);
+        Network talk = config.network().orElseThrow(this::alone);
         PeerReport report =
                 PeerReport.fetch(at.isEmpty() ? talk.listenAddress() : address(at), talk.keys());
         out.print(json ? json(report) : table(report));
--- a/src/main/java/cypressglade/config/PeersConfigParser.java
+++ b/src/main/java/cypressglade/config/PeersConfigParser.java
@@ -3,6 +3,7 @@
 import cypressglade.member.SwimSettings;
 import cypressglade.peer.KeyRing;
 import cypressglade.peer.PeersConfig;
+import cypressglade.peer.PeersConfig.Network;
 import cypressglade.peer.PeersConfig.Snapshots;
 import cypressglade.share.SharingSettings;
 import java.io.IOException;
@@ -62,7 +63,7 @@
                     "name",
                     "is not 1 to " + MOST_NAME + " letters, digits, dots, dashes or underscores");
         }
-        Optional<PeersConfig.Network> talk =
+        Optional<Network> talk =
                 values.text("listen", "").isEmpty() ? Optional.empty() : Optional.of(talk());
         Optional<Snapshots> snapshots =
                 values.text("snapshot_dir", "").isEmpty()
@@ -79,7 +80,7 @@
                 Duration.ofMillis(values.whole("start_wait_ms", 0, MOST_WAIT_MS, 200)));
     }
 
-    private PeersConfig.Network talk() throws ConfigException {
+    private Network talk() throws ConfigException {
         InetSocketAddress listen = values.address("listen");
         Optional<InetSocketAddress> advertised =
                 values.text("advertise", "").isEmpty()
@@ -101,7 +102,7 @@
         }
         Path keyFile = directory.resolve(values.text("key_file"));
         try {
-            return new PeersConfig.Network(
+            return new Network(
                     listen,
                     advertised,
                     List.copyOf(seeds),
--- a/src/main/java/cypressglade/control/ControlService.java
+++ b/src/main/java/cypressglade/control/ControlService.java
@@ -5,7 +5,7 @@
 import cypressglade.core.Engine;
 import cypressglade.core.MonotonicClock;
 import cypressglade.core.NodeStatus;
-import cypressglade.core.Scheduler;
+import cypressglade.core.Scheduler.QueueView;
 import cypressglade.core.Scheduler.Reason;
 import cypressglade.member.Member;
 import cypressglade.operate.EventLog;
@@ -17,6 +17,7 @@
 import cypressglade.operate.SchedulerStatus;
 import cypressglade.operate.StatusCache;
 import cypressglade.snapshot.SnapshotStore;
+import cypressglade.snapshot.SnapshotStore.SnapshotFile;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.time.Duration;
@@ -88,7 +89,7 @@
     }
 
     private void restoreDrains() {
-        for (SnapshotStore.SnapshotFile file : store.read(Instant.now(), MAX_DRAIN_AGE)) {
+        for (SnapshotFile file : store.read(Instant.now(), MAX_DRAIN_AGE)) {
             try {
                 if (file.fault() == SnapshotStore.Fault.NONE) {
                     drains.restoreDrains(ManualDrainJson.parse(file.body()));
@@ -106,7 +107,7 @@
                 (nodes, queues) -> server.post(() -> consumer.accept(status(nodes, queues))));
     }
 
-    private SchedulerStatus status(List<NodeStatus> nodes, Scheduler.QueueView queues) {
+    private SchedulerStatus status(List<NodeStatus> nodes, QueueView queues) {
         return new SchedulerStatus(
                 MonotonicClock.now(), nodes, classes.get(), queues, drains.list());
     }
--- a/src/main/java/cypressglade/core/Engine.java
+++ b/src/main/java/cypressglade/core/Engine.java
@@ -5,6 +5,7 @@
 import cypressglade.core.Scheduler.Actions;
 import cypressglade.core.Scheduler.Hint;
 import cypressglade.core.Scheduler.Outcome;
+import cypressglade.core.Scheduler.QueueView;
 import cypressglade.core.Scheduler.Settings;
 import cypressglade.core.Scheduler.Status;
 import cypressglade.storm.StormSettings;
@@ -298,7 +299,7 @@
      * Hands the state of all listed nodes and of the queues, both at the same moment, to {@code
      * reader} on the engine thread.
      */
-    public void readStatus(BiConsumer<List<NodeStatus>, Scheduler.QueueView> reader) {
+    public void readStatus(BiConsumer<List<NodeStatus>, QueueView> reader) {
         post(
                 () ->
                         reader.accept(
--- a/src/main/java/cypressglade/http/ClientListener.java
+++ b/src/main/java/cypressglade/http/ClientListener.java
@@ -8,6 +8,7 @@
 import cypressglade.core.MonotonicClock;
 import cypressglade.core.NodeLink;
 import cypressglade.core.RequestLog;
+import cypressglade.core.RequestLog.Event;
 import cypressglade.core.RequestPool;
 import cypressglade.core.RequestTask;
 import cypressglade.core.Responder;
@@ -397,7 +398,7 @@
                         client -> {
                             requestLog.record(
                                     RequestLog.NO_ID,
-                                    RequestLog.Event.CUT_OFF,
+                                    Event.CUT_OFF,
                                     "its answer was not read in time");
                             close(client);
                         });
@@ -428,9 +429,7 @@
         Instant extendedLimit = MonotonicClock.now().minus(IDLE_TIMEOUT).minus(SWEEP_INTERVAL);
         if (client.since.isBefore(extendedLimit) || !client.hasUnread()) {
             requestLog.record(
-                    RequestLog.NO_ID,
-                    RequestLog.Event.CLOSED,
-                    "half a request, and no more in time");
+                    RequestLog.NO_ID, Event.CLOSED, "half a request, and no more in time");
             closeGracefully(client);
         }
     }
@@ -441,7 +440,7 @@
      */
     private void closeIfIdle(ClientConnection client, String why) {
         if (client.isIdle() && !client.hasUnread()) {
-            requestLog.record(RequestLog.NO_ID, RequestLog.Event.CLOSED, why);
+            requestLog.record(RequestLog.NO_ID, Event.CLOSED, why);
             closeGracefully(client);
         }
     }
@@ -577,7 +576,7 @@
                                 counters.add(Name.MALFORMED);
                                 requestLog.record(
                                         traceId(same),
-                                        RequestLog.Event.MALFORMED,
+                                        Event.MALFORMED,
                                         "its body broke off: " + failure);
                                 IoUtils.safeClose(same.getConnection());
                             }
@@ -636,7 +635,7 @@
                 counters.add(Name.REFUSED_NO_ROOM);
                 requestLog.record(
                         traceId(exchange),
-                        RequestLog.Event.REFUSED,
+                        Event.REFUSED,
                         "no room for its body, or it did not come in time");
                 answer(exchange, 503, new byte[0]);
             }
@@ -670,7 +669,7 @@
             counters.add(Name.REFUSED_NO_ROOM);
             requestLog.record(
                     responder.requestId(),
-                    RequestLog.Event.REFUSED,
+                    Event.REFUSED,
                     "no room for the bodies of open requests");
             responder.refuse(Duration.ZERO);
         } else if (requestPool.start(task)) {
@@ -678,8 +677,7 @@
             setOpenBodyBytes(client, body.length);
             watchForDisconnect(exchange, task);
         } else {
-            requestLog.record(
-                    responder.requestId(), RequestLog.Event.REFUSED, "too many requests are open");
+            requestLog.record(responder.requestId(), Event.REFUSED, "too many requests are open");
             responder.refuse(Duration.ZERO);
         }
     }
@@ -702,7 +700,7 @@
 
     private void handleDisconnect(HttpServerExchange exchange) {
         counters.add(Name.GONE);
-        requestLog.record(traceId(exchange), RequestLog.Event.GONE, "its client left");
+        requestLog.record(traceId(exchange), Event.GONE, "its client left");
         IoUtils.safeClose(exchange.getConnection());
         releaseConnection(clientOf(exchange));
     }
@@ -781,7 +779,7 @@
     /** Answers a malformed request, and closes its connection after that. */
     private void reject(HttpServerExchange exchange, int status, String why) {
         counters.add(Name.MALFORMED);
-        requestLog.record(traceId(exchange), RequestLog.Event.MALFORMED, why);
+        requestLog.record(traceId(exchange), Event.MALFORMED, why);
         exchange.setPersistent(false);
         answer(exchange, status, (why + "\n").getBytes(StandardCharsets.UTF_8));
     }
@@ -806,7 +804,7 @@
         if (body.length > budget.answerBytes() - responseBytes) {
             requestLog.record(
                     traceId(exchange),
-                    RequestLog.Event.FAILED,
+                    Event.FAILED,
                     "no room for its answer of " + body.length + " bytes");
             answer(exchange, 502, new byte[0]);
             return;
--- a/src/main/java/cypressglade/http/LoadReport.java
+++ b/src/main/java/cypressglade/http/LoadReport.java
@@ -1,6 +1,6 @@
 package cypressglade.http;
 
-import cypressglade.core.NodeLink;
+import cypressglade.core.NodeLink.ResponseMetadata;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
@@ -34,7 +34,7 @@
      * @param names the names of the load figures, without regard to case; the result's load has
      *     their order, and is empty where one of them is missing
      */
-    NodeLink.ResponseMetadata toResponseMetadata(List<String> names) {
+    ResponseMetadata toResponseMetadata(List<String> names) {
         double usePercent = parseFigure(volumeLoad);
         int usePercentPlusOne =
                 Double.isNaN(usePercent) || usePercent < 0
@@ -45,7 +45,7 @@
                 Double.isNaN(otherUnits) || otherUnits < 0
                         ? 0
                         : (int) Math.min(MAX_FIGURE, Math.round(otherUnits));
-        return new NodeLink.ResponseMetadata(usePercentPlusOne, unitsByOthers, load(names));
+        return new ResponseMetadata(usePercentPlusOne, unitsByOthers, load(names));
     }
 
     private float[] load(List<String> names) {
--- a/src/main/java/cypressglade/http/NodeClient.java
+++ b/src/main/java/cypressglade/http/NodeClient.java
@@ -3,6 +3,8 @@
 import cypressglade.core.MonotonicClock;
 import cypressglade.core.NodeDirectory;
 import cypressglade.core.NodeLink;
+import cypressglade.core.NodeLink.AttemptResult;
+import cypressglade.core.NodeLink.ResponseMetadata;
 import cypressglade.core.Scheduler.Status;
 import cypressglade.net.NodePool;
 import java.io.IOException;
@@ -64,12 +66,12 @@
             NodeRequest request,
             Instant deadline,
             BooleanSupplier wanted,
-            Consumer<NodeLink.AttemptResult> resultConsumer) {
+            Consumer<AttemptResult> resultConsumer) {
         return new HttpExchange(node, request::encode, deadline, wanted, resultConsumer).start();
     }
 
     @Override
-    public void probe(long node, Consumer<NodeLink.AttemptResult> resultConsumer) {
+    public void probe(long node, Consumer<AttemptResult> resultConsumer) {
         Instant deadline = MonotonicClock.now().plus(NodePool.PROBE_TIMEOUT);
         new HttpExchange(
                         node,
@@ -90,7 +92,7 @@
                 Function<Duration, List<ByteBuffer>> message,
                 Instant deadline,
                 BooleanSupplier wanted,
-                Consumer<NodeLink.AttemptResult> resultConsumer) {
+                Consumer<AttemptResult> resultConsumer) {
             pool.super(node, deadline, wanted, resultConsumer);
             this.message = message;
         }
@@ -131,10 +133,10 @@
         }
 
         @Override
-        protected NodeLink.ResponseMetadata responseMetadata() {
+        protected ResponseMetadata responseMetadata() {
             return parser.isComplete()
                     ? parser.report().toResponseMetadata(loadNames)
-                    : NodeLink.ResponseMetadata.NOTHING;
+                    : ResponseMetadata.NOTHING;
         }
 
         private Status status() {
--- a/src/main/java/cypressglade/nbd/NbdNodeLink.java
+++ b/src/main/java/cypressglade/nbd/NbdNodeLink.java
@@ -3,6 +3,7 @@
 import cypressglade.core.MonotonicClock;
 import cypressglade.core.NodeDirectory;
 import cypressglade.core.NodeLink;
+import cypressglade.core.NodeLink.AttemptResult;
 import cypressglade.core.Scheduler.Status;
 import cypressglade.net.Connection;
 import cypressglade.net.NodePool;
@@ -49,10 +50,10 @@
             NodeCommand command,
             Instant deadline,
             BooleanSupplier isWanted,
-            Consumer<NodeLink.AttemptResult> ended) {
+            Consumer<AttemptResult> ended) {
         if (command.requiredNode() != NodeCommand.ANY_NODE && command.requiredNode() != node) {
             ended.accept(
-                    NodeLink.AttemptResult.withoutResponse(
+                    AttemptResult.withoutResponse(
                             Status.MOOT)); // the node with the writes to flush is gone
             return () -> {};
         }
@@ -60,7 +61,7 @@
     }
 
     @Override
-    public void probe(long node, Consumer<NodeLink.AttemptResult> ended) {
+    public void probe(long node, Consumer<AttemptResult> ended) {
         new ProbeExchange(node, ended).start();
     }
 
@@ -73,7 +74,7 @@
                 NbdConfig.Export export,
                 Instant deadline,
                 BooleanSupplier isWanted,
-                Consumer<NodeLink.AttemptResult> ended) {
+                Consumer<AttemptResult> ended) {
             pool.super(node, deadline, isWanted, ended);
             this.export = export;
         }
@@ -104,7 +105,7 @@
                 NodeCommand command,
                 Instant deadline,
                 BooleanSupplier isWanted,
-                Consumer<NodeLink.AttemptResult> ended) {
+                Consumer<AttemptResult> ended) {
             super(node, command.export(), deadline, isWanted, ended);
             this.command = command;
             synchronized (NbdNodeLink.this) {
@@ -139,7 +140,7 @@
      * answers it by closing the connection.
      */
     private final class ProbeExchange extends NbdExchange {
-        ProbeExchange(long node, Consumer<NodeLink.AttemptResult> ended) {
+        ProbeExchange(long node, Consumer<AttemptResult> ended) {
             super(
                     node,
                     config.exports().get(0),
--- a/src/main/java/cypressglade/nbd/Transmission.java
+++ b/src/main/java/cypressglade/nbd/Transmission.java
@@ -4,6 +4,7 @@
 import cypressglade.core.Micros;
 import cypressglade.core.MonotonicClock;
 import cypressglade.core.NodeLink;
+import cypressglade.core.NodeLink.AttemptResult;
 import cypressglade.core.RequestTask;
 import cypressglade.core.Responder;
 import cypressglade.core.Scheduler.Settings;
@@ -407,7 +408,7 @@
                 NodeCommand nodeCommand,
                 Instant deadline,
                 BooleanSupplier isWanted,
-                Consumer<NodeLink.AttemptResult> ended) {
+                Consumer<AttemptResult> ended) {
             return listener.link()
                     .send(
                             node,
@@ -426,7 +427,7 @@
         }
 
         @Override
-        public void probe(long node, Consumer<NodeLink.AttemptResult> ended) {
+        public void probe(long node, Consumer<AttemptResult> ended) {
             listener.link().probe(node, ended);
         }
     }
--- a/src/main/java/cypressglade/net/NodePool.java
+++ b/src/main/java/cypressglade/net/NodePool.java
@@ -3,8 +3,8 @@
 import cypressglade.core.Counters;
 import cypressglade.core.MonotonicClock;
 import cypressglade.core.NodeDirectory;
-import cypressglade.core.NodeLink;
 import cypressglade.core.NodeLink.Attempt;
+import cypressglade.core.NodeLink.AttemptResult;
 import cypressglade.core.NodeLink.ResponseMetadata;
 import cypressglade.core.Scheduler.Status;
 import java.io.IOException;
@@ -200,7 +200,7 @@
         private final long node;
         private final Instant deadline;
         private final BooleanSupplier wanted;
-        private final Consumer<NodeLink.AttemptResult> resultConsumer;
+        private final Consumer<AttemptResult> resultConsumer;
         private String poolKey;
         private EventLoop.PendingConnection pendingConnection;
         private Connection connection;
@@ -225,7 +225,7 @@
                 long node,
                 Instant deadline,
                 BooleanSupplier wanted,
-                Consumer<NodeLink.AttemptResult> resultConsumer) {
+                Consumer<AttemptResult> resultConsumer) {
             this.node = node;
             this.deadline = deadline;
             this.wanted = wanted;
@@ -521,8 +521,8 @@
             }
             Duration duration =
                     Duration.between(startedAt, MonotonicClock.now()).minus(loop.meanLateness());
-            NodeLink.AttemptResult result =
-                    NodeLink.AttemptResult.fromResponse(
+            AttemptResult result =
+                    AttemptResult.fromResponse(
                             status,
                             answer(),
                             responseMetadata(),
--- a/src/main/java/cypressglade/operate/SchedulerStatus.java
+++ b/src/main/java/cypressglade/operate/SchedulerStatus.java
@@ -1,7 +1,7 @@
 package cypressglade.operate;
 
 import cypressglade.core.NodeStatus;
-import cypressglade.core.Scheduler;
+import cypressglade.core.Scheduler.QueueView;
 import java.time.Instant;
 import java.util.List;
 
@@ -18,5 +18,5 @@
         Instant at,
         List<NodeStatus> nodes,
         List<String> classes,
-        Scheduler.QueueView queues,
+        QueueView queues,
         List<ManualDrain> drains) {}
--- a/src/main/java/cypressglade/peer/Peers.java
+++ b/src/main/java/cypressglade/peer/Peers.java
@@ -29,6 +29,7 @@
 import cypressglade.share.SharingSettings;
 import cypressglade.share.Verdicts.Verdict;
 import cypressglade.snapshot.SnapshotStore;
+import cypressglade.snapshot.SnapshotStore.SnapshotFile;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
@@ -864,7 +865,7 @@
                 .orElse(List.of());
     }
 
-    private void snapshotIgnored(SnapshotStore.SnapshotFile snapshot, String reason) {
+    private void snapshotIgnored(SnapshotFile snapshot, String reason) {
         counters.add(Name.SNAPSHOTS_IGNORED);
         LOG.log(Level.WARNING, "ignored snapshot {0}: {1}", snapshot.file(), reason);
     }
@@ -954,8 +955,7 @@
                 .ifPresent(observations -> learner.receive(observations, MonotonicClock.now()));
     }
 
-    private List<NodeObservation> decodeObservations(SnapshotStore.SnapshotFile snapshot)
-            throws IOException {
+    private List<NodeObservation> decodeObservations(SnapshotFile snapshot) throws IOException {
         return Codec.decodeSnapshot(
                         snapshot.body(), config.name(), snapshot.age(), MonotonicClock.now())
                 .orElseThrow(() -> new IOException("written by an instance of another name"));
--- a/src/test/java/cypressglade/config/ConfigTest.java
+++ b/src/test/java/cypressglade/config/ConfigTest.java
@@ -6,7 +6,7 @@
 import cypressglade.core.NodeList;
 import cypressglade.core.Scheduler.State;
 import cypressglade.member.SwimSettings;
-import cypressglade.peer.PeersConfig;
+import cypressglade.peer.PeersConfig.Network;
 import cypressglade.share.SharingSettings;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -204,7 +204,7 @@
                         PosixFilePermissions.asFileAttribute(
                                 PosixFilePermissions.fromString("rw-------")));
         Files.writeString(key, "1 " + "5a".repeat(32) + "\n");
-        PeersConfig.Network talk =
+        Network talk =
                 PeersConfigParser.read(Files.writeString(folder.resolve("fleet.json"), shipped))
                         .orElseThrow()
                         .network()
--- a/src/test/java/cypressglade/core/RequestTaskTest.java
+++ b/src/test/java/cypressglade/core/RequestTaskTest.java
@@ -4,6 +4,7 @@
 
 import cypressglade.core.NodeLink.Attempt;
 import cypressglade.core.NodeLink.AttemptResult;
+import cypressglade.core.NodeLink.ResponseMetadata;
 import cypressglade.core.Scheduler.Effect;
 import cypressglade.core.Scheduler.Limits;
 import cypressglade.core.Scheduler.Plan;
@@ -215,7 +216,7 @@
             throws Exception {
         begin();
         for (int i = 0; i < attempts; i++) {
-            attempt().accept(new AttemptResult(status, DATA, NodeLink.ResponseMetadata.NOTHING));
+            attempt().accept(new AttemptResult(status, DATA, ResponseMetadata.NOTHING));
         }
         assertThat(answer()).isEqualTo(expected);
         assertThat(answers).isEmpty();
@@ -250,7 +251,7 @@
         }
         allLeft.countDown();
         begin();
-        attempt().accept(new AttemptResult(Status.OK, DATA, NodeLink.ResponseMetadata.NOTHING));
+        attempt().accept(new AttemptResult(Status.OK, DATA, ResponseMetadata.NOTHING));
         assertThat(answer()).isEqualTo("served 3");
     }
 
@@ -268,7 +269,7 @@
         assertThat(isWanted.getAsBoolean()).isFalse();
         ended.accept(AttemptResult.withoutResponse(Status.MOOT));
         begin();
-        attempt().accept(new AttemptResult(Status.OK, DATA, NodeLink.ResponseMetadata.NOTHING));
+        attempt().accept(new AttemptResult(Status.OK, DATA, ResponseMetadata.NOTHING));
         assertThat(answer()).as("of the next request alone").isEqualTo("served 3");
         assertThat(answers).isEmpty();
     }
@@ -283,7 +284,7 @@
         task.signal(new RequestTask.Cancel(0));
         pool.start(task);
         attempt().accept(AttemptResult.withoutResponse(Status.FULL));
-        attempt().accept(new AttemptResult(Status.OK, DATA, NodeLink.ResponseMetadata.NOTHING));
+        attempt().accept(new AttemptResult(Status.OK, DATA, ResponseMetadata.NOTHING));
         assertThat(answer()).isEqualTo("served 3");
     }
 
@@ -325,7 +326,7 @@
         assertThat(answer()).isEqualTo("refused");
         assertThat(answeredBy).isEqualTo("engine");
         begin();
-        attempt().accept(new AttemptResult(Status.OK, DATA, NodeLink.ResponseMetadata.NOTHING));
+        attempt().accept(new AttemptResult(Status.OK, DATA, ResponseMetadata.NOTHING));
         assertThat(answer()).isEqualTo("served 3");
         assertThat(answeredBy).isEqualTo("request");
     }
--- a/src/test/java/cypressglade/http/LoadReportTest.java
+++ b/src/test/java/cypressglade/http/LoadReportTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cypressglade.core.NodeLink;
+import cypressglade.core.NodeLink.ResponseMetadata;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -30,7 +30,7 @@
             """)
     void useAndUnitsByOthersAreParsedOrZero(
             String volumeLoad, String otherHosts, int usePercentPlusOne, int unitsByOthers) {
-        NodeLink.ResponseMetadata metadata =
+        ResponseMetadata metadata =
                 new LoadReport(volumeLoad, otherHosts, "").toResponseMetadata(NAMES);
         assertThat(metadata.usePercentPlusOne()).isEqualTo(usePercentPlusOne);
         assertThat(metadata.unitsByOthers()).isEqualTo(unitsByOthers);
--- a/src/test/java/cypressglade/http/NodeClientTest.java
+++ b/src/test/java/cypressglade/http/NodeClientTest.java
@@ -5,7 +5,7 @@
 import cypressglade.core.Counters;
 import cypressglade.core.MonotonicClock;
 import cypressglade.core.NodeDirectory;
-import cypressglade.core.NodeLink;
+import cypressglade.core.NodeLink.AttemptResult;
 import cypressglade.core.NodeList;
 import cypressglade.core.Scheduler.State;
 import cypressglade.core.Scheduler.Status;
@@ -33,7 +33,7 @@
             "Volume-Load: 240\r\nOther-Hosts: 6\r\n"
                     + "Endpoint-Load-Metrics: TEXT queue=3, latency_ms=52.5\r\n";
 
-    private static NodeLink.AttemptResult exchange(HttpPeer.Script script) throws Exception {
+    private static AttemptResult exchange(HttpPeer.Script script) throws Exception {
         NodeDirectory directory = new NodeDirectory();
         try (HttpPeer node = new HttpPeer(script);
                 EventLoop loop = new EventLoop()) {
@@ -60,7 +60,7 @@
                             Duration.ofSeconds(5),
                             4);
             NodeClient client = new NodeClient(pool, 1 << 20, List.of("queue", "latency_ms"));
-            CompletableFuture<NodeLink.AttemptResult> result = new CompletableFuture<>();
+            CompletableFuture<AttemptResult> result = new CompletableFuture<>();
             client.send(
                     1,
                     new NodeRequest(
@@ -78,7 +78,7 @@
 
     @Test
     void servedAnswerReportsUseUnitsByOthersAndLoad() throws Exception {
-        NodeLink.AttemptResult result = exchange(HttpPeer.answer(200, LOAD_HEADERS, "entry"));
+        AttemptResult result = exchange(HttpPeer.answer(200, LOAD_HEADERS, "entry"));
         assertThat(result.status()).isEqualTo(Status.OK);
         assertThat(new String(result.answer(), java.nio.charset.StandardCharsets.US_ASCII))
                 .isEqualTo("entry");
@@ -89,7 +89,7 @@
 
     @Test
     void rejectionReportsLoadButHasNoBody() throws Exception {
-        NodeLink.AttemptResult result =
+        AttemptResult result =
                 exchange(HttpPeer.answer(503, "X-Never-Ran: 1\r\n" + LOAD_HEADERS, "full"));
         assertThat(result.status()).isEqualTo(Status.FULL);
         assertThat(result.answer()).isEmpty();
@@ -98,7 +98,7 @@
 
     @Test
     void truncatedAnswerReportsNothing() throws Exception {
-        NodeLink.AttemptResult result =
+        AttemptResult result =
                 exchange(
                         (request, out) -> {
                             HttpPeer.write(
@@ -118,7 +118,7 @@
     @CsvSource({"false,OK", "true,RESET"})
     void onlyEndOfStreamCompletesAnAnswerWithoutALength(boolean reset, Status status)
             throws Exception {
-        NodeLink.AttemptResult result =
+        AttemptResult result =
                 exchange(
                         (request, out) -> {
                             HttpPeer.write(
--- a/src/test/java/cypressglade/net/NodePoolTest.java
+++ b/src/test/java/cypressglade/net/NodePoolTest.java
@@ -5,7 +5,7 @@
 import cypressglade.core.Counters;
 import cypressglade.core.MonotonicClock;
 import cypressglade.core.NodeDirectory;
-import cypressglade.core.NodeLink;
+import cypressglade.core.NodeLink.AttemptResult;
 import cypressglade.core.NodeList;
 import cypressglade.core.Scheduler.State;
 import cypressglade.core.Scheduler.Status;
@@ -53,10 +53,10 @@
                 }
             };
 
-    private NodeLink.AttemptResult exchange(
+    private AttemptResult exchange(
             NodePool pool, long number, Duration time, Consumer<Runnable> preparation)
             throws Exception {
-        CompletableFuture<NodeLink.AttemptResult> ended = new CompletableFuture<>();
+        CompletableFuture<AttemptResult> ended = new CompletableFuture<>();
         NodePool.Exchange exchange =
                 pool
                 .new Exchange(
--- a/src/test/java/cypressglade/peer/LearningMeasure.java
+++ b/src/test/java/cypressglade/peer/LearningMeasure.java
@@ -13,6 +13,7 @@
 import cypressglade.member.Member.State;
 import cypressglade.member.SwimSettings;
 import cypressglade.net.EventLoop;
+import cypressglade.peer.PeersConfig.Network;
 import cypressglade.snapshot.SnapshotStore;
 import cypressglade.standin.Site;
 import cypressglade.standin.StorageNode;
@@ -81,7 +82,7 @@
         return new PeersConfig(
                 name,
                 Optional.of(
-                        new PeersConfig.Network(
+                        new Network(
                                 new InetSocketAddress("127.0.0.1", 0),
                                 Optional.empty(),
                                 List.of(seeds),
--- a/src/test/java/cypressglade/snapshot/SnapshotStoreTest.java
+++ b/src/test/java/cypressglade/snapshot/SnapshotStoreTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cypressglade.snapshot.SnapshotStore.Fault;
+import cypressglade.snapshot.SnapshotStore.SnapshotFile;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -33,7 +34,7 @@
     }
 
     private List<Fault> faults() {
-        return store.read(WALL, MAX_AGE).stream().map(SnapshotStore.SnapshotFile::fault).toList();
+        return store.read(WALL, MAX_AGE).stream().map(SnapshotFile::fault).toList();
     }
 
     @Test
@@ -73,7 +74,7 @@
     })
     void filesThatAreTooOldOrFromTheFutureAreRejected(int seconds, Fault fault) {
         assertThat(store.read(WALL.plusSeconds(seconds), MAX_AGE))
-                .extracting(SnapshotStore.SnapshotFile::fault)
+                .extracting(SnapshotFile::fault)
                 .containsOnly(fault);
     }
 
