--- a/src/main/java/cypressglade/peer/PeerReport.java
+++ b/src/main/java/cypressglade/peer/PeerReport.java
@@ -67,11 +67,11 @@
                                 }
 
                                 @Override
-                                public void finished(String fault) {
-                                    if (fault.isEmpty()) {
+                                public void finished(String failure) {
+                                    if (failure.isEmpty()) {
                                         done.complete(report);
                                     } else {
-                                        done.completeExceptionally(new IOException(fault));
+                                        done.completeExceptionally(new IOException(failure));
                                     }
                                 }
                             });
--- a/src/main/java/cypressglade/peer/Peers.java
+++ b/src/main/java/cypressglade/peer/Peers.java
@@ -556,11 +556,11 @@
                     }
 
                     @Override
-                    public void finished(String fault) {
+                    public void finished(String failure) {
                         activePulls.remove(from);
                         counters.add(
-                                fault.isEmpty() ? Name.TRANSFERS_TAKEN : Name.TRANSFERS_BROKEN);
-                        LOG.log(Level.DEBUG, "transfer from {0}: {1}", from, fault);
+                                failure.isEmpty() ? Name.TRANSFERS_TAKEN : Name.TRANSFERS_BROKEN);
+                        LOG.log(Level.DEBUG, "transfer from {0}: {1}", from, failure);
                         // Hints reach the scheduling policy before the listeners open, as the
                         // engine handles its events in order.
                         engine.readNodes(
--- a/src/main/java/cypressglade/peer/TransferClient.java
+++ b/src/main/java/cypressglade/peer/TransferClient.java
@@ -44,9 +44,9 @@
         /**
          * Called once, at the end.
          *
-         * @param fault why the transfer failed; empty if the last frame was received
+         * @param failure why the transfer failed; empty if the last frame was received
          */
-        void finished(String fault);
+        void finished(String failure);
     }
 
     /**
@@ -168,18 +168,18 @@
         }
 
         /** Called on the owner's thread. */
-        private void finish(String fault) {
+        private void finish(String failure) {
             if (!isFinished) {
                 isFinished = true;
-                listener.finished(fault);
+                listener.finished(failure);
                 loop.execute(this::closeConnection);
             }
         }
 
         /** Called on the I/O thread; the frames received before are handled first. */
-        private void fail(String fault) {
+        private void fail(String failure) {
             if (!closed) {
-                owner.execute(() -> finish(fault));
+                owner.execute(() -> finish(failure));
                 closeConnection();
             }
         }
