--- a/src/main/java/cypressglade/core/Engine.java
+++ b/src/main/java/cypressglade/core/Engine.java
@@ -80,7 +80,7 @@
      * This instance's shares, 0 to 1, of the limits that all instances keep together.
      *
      * @param shareByVolume shares of the rate limits of volumes
-     * @param shareByColdNode shares of what cold nodes may be sent, by run of the node
+     * @param shareByColdNode shares of what cold nodes may be sent, by generation of the node
      * @param otherVolumesShare for volumes that are not named
      * @param otherColdNodesShare for cold nodes that are not named
      * @param minShare the share of everything from {@code validUntil} on
