--- a/src/main/java/cypressglade/core/Engine.java
+++ b/src/main/java/cypressglade/core/Engine.java
@@ -5,6 +5,7 @@
 import cypressglade.core.Scheduler.Actions;
 import cypressglade.core.Scheduler.Hint;
 import cypressglade.core.Scheduler.Outcome;
+import cypressglade.core.Scheduler.QueueView;
 import cypressglade.core.Scheduler.Settings;
 import cypressglade.core.Scheduler.Status;
 import cypressglade.storm.StormSettings;
@@ -79,7 +80,7 @@
      * This instance's shares, 0 to 1, of the limits that all instances keep together.
      *
      * @param shareByVolume shares of the rate limits of volumes
-     * @param shareByColdNode shares of what cold nodes may be sent, by run of the node
+     * @param shareByColdNode shares of what cold nodes may be sent, by generation of the node
      * @param otherVolumesShare for volumes that are not named
      * @param otherColdNodesShare for cold nodes that are not named
      * @param minShare the share of everything from {@code validUntil} on
@@ -139,9 +140,9 @@
         this.stormSettings = stormSettings;
         this.stormFilter =
                 stormSettings.map(
-                        terms ->
+                        presentSettings ->
                                 new RetryStormFilter(
-                                        terms,
+                                        presentSettings,
                                         settings,
                                         coldWindow,
                                         counters,
@@ -298,7 +299,7 @@
      * Hands the state of all listed nodes and of the queues, both at the same moment, to {@code
      * reader} on the engine thread.
      */
-    public void readStatus(BiConsumer<List<NodeStatus>, Scheduler.QueueView> reader) {
+    public void readStatus(BiConsumer<List<NodeStatus>, QueueView> reader) {
         post(
                 () ->
                         reader.accept(
@@ -487,11 +488,11 @@
                 }
             } catch (InterruptedException interrupted) {
                 return;
-            } catch (RuntimeException fault) {
+            } catch (RuntimeException failure) {
                 // A fault in one event must not cost other requests their answers; the request of
                 // this event is still answered by its deadline.
                 counters.add(Counters.Name.MODULE_FAULTS);
-                LOG.log(System.Logger.Level.ERROR, "the scheduling policy failed", fault);
+                LOG.log(System.Logger.Level.ERROR, "the scheduling policy failed", failure);
             }
         }
     }
--- a/src/main/java/cypressglade/http/LoadReport.java
+++ b/src/main/java/cypressglade/http/LoadReport.java
@@ -1,6 +1,6 @@
 package cypressglade.http;
 
-import cypressglade.core.NodeLink;
+import cypressglade.core.NodeLink.ResponseMetadata;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
@@ -34,7 +34,7 @@
      * @param names the names of the load figures, without regard to case; the result's load has
      *     their order, and is empty where one of them is missing
      */
-    NodeLink.ResponseMetadata toResponseMetadata(List<String> names) {
+    ResponseMetadata toResponseMetadata(List<String> names) {
         double usePercent = parseFigure(volumeLoad);
         int usePercentPlusOne =
                 Double.isNaN(usePercent) || usePercent < 0
@@ -45,7 +45,7 @@
                 Double.isNaN(otherUnits) || otherUnits < 0
                         ? 0
                         : (int) Math.min(MAX_FIGURE, Math.round(otherUnits));
-        return new NodeLink.ResponseMetadata(usePercentPlusOne, unitsByOthers, load(names));
+        return new ResponseMetadata(usePercentPlusOne, unitsByOthers, load(names));
     }
 
     private float[] load(List<String> names) {
@@ -57,7 +57,7 @@
                 names.stream().map(one -> one.toLowerCase(Locale.ROOT)).toList();
         float[] load = new float[names.size()];
         Arrays.fill(load, Float.NaN);
-        int found = 0;
+        int foundCount = 0;
         for (String pair : text.substring(TEXT_FORMAT.length()).split(",")) {
             int separator = pair.indexOf('=');
             String name =
@@ -68,10 +68,10 @@
             double value = index < 0 ? Double.NaN : parseFigure(pair.substring(separator + 1));
             if (!Double.isNaN(value) && Float.isNaN(load[index])) {
                 load[index] = (float) value;
-                found++;
+                foundCount++;
             }
         }
-        return found == names.size() ? load : new float[0];
+        return foundCount == names.size() ? load : new float[0];
     }
 
     /**
--- a/src/main/java/cypressglade/peer/Peers.java
+++ b/src/main/java/cypressglade/peer/Peers.java
@@ -29,6 +29,7 @@
 import cypressglade.share.SharingSettings;
 import cypressglade.share.Verdicts.Verdict;
 import cypressglade.snapshot.SnapshotStore;
+import cypressglade.snapshot.SnapshotStore.SnapshotFile;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
@@ -114,7 +115,7 @@
     private Swim swim;
     private Optional<View> view = Optional.empty();
     private Optional<SharingProtocol<InetSocketAddress>> sharing = Optional.empty();
-    private UdpSocket datagrams;
+    private UdpSocket udpSocket;
     private TransferServer transferServer;
     private TransferClient transferClient;
     private int shortReplies;
@@ -325,7 +326,7 @@
         diskExecutor.shutdown();
         if (transferServer != null) {
             transferServer.close();
-            datagrams.close();
+            udpSocket.close();
         }
     }
 
@@ -444,7 +445,7 @@
             TransferServer server =
                     new TransferServer(loop, listen, random, this::transferRequested);
             try {
-                datagrams = loop.openUdpSocket(server.address(), this::datagramReceived);
+                udpSocket = loop.openUdpSocket(server.address(), this::datagramReceived);
                 transferServer = server;
             } catch (IOException bindFailed) {
                 server.close();
@@ -555,11 +556,11 @@
                     }
 
                     @Override
-                    public void finished(String fault) {
+                    public void finished(String failure) {
                         activePulls.remove(from);
                         counters.add(
-                                fault.isEmpty() ? Name.TRANSFERS_TAKEN : Name.TRANSFERS_BROKEN);
-                        LOG.log(Level.DEBUG, "transfer from {0}: {1}", from, fault);
+                                failure.isEmpty() ? Name.TRANSFERS_TAKEN : Name.TRANSFERS_BROKEN);
+                        LOG.log(Level.DEBUG, "transfer from {0}: {1}", from, failure);
                         // Hints reach the scheduling policy before the listeners open, as the
                         // engine handles its events in order.
                         engine.readNodes(
@@ -726,7 +727,7 @@
 
     private void sendShortReply(InetSocketAddress to, byte[] answer) {
         if (shortReplies++ < MAX_SHORT_REPLIES) {
-            datagrams.send(to, answer);
+            udpSocket.send(to, answer);
         }
     }
 
@@ -746,7 +747,7 @@
     }
 
     private void send(InetSocketAddress to, Optional<Message> message, Optional<Notice> notice) {
-        datagrams.send(
+        udpSocket.send(
                 to,
                 SealedMessage.seal(
                         keys,
@@ -804,8 +805,8 @@
                     new LimitAllocation(
                             volumes,
                             cold,
-                            allocation.otherVolumeShare(),
-                            allocation.otherColdNodeShare(),
+                            allocation.otherVolumesShare(),
+                            allocation.otherColdNodesShare(),
                             settings.minShare(),
                             settings.windowStart(allocation.window() + 1)));
         }
@@ -859,14 +860,14 @@
                                 file.readNewest(
                                         Instant.now(),
                                         SnapshotStore.ANY_AGE,
-                                        found -> Codec.decodeVerdicts(found.body()),
+                                        snapshot -> Codec.decodeVerdicts(snapshot.body()),
                                         this::snapshotIgnored))
                 .orElse(List.of());
     }
 
-    private void snapshotIgnored(SnapshotStore.SnapshotFile found, String fault) {
+    private void snapshotIgnored(SnapshotFile snapshot, String reason) {
         counters.add(Name.SNAPSHOTS_IGNORED);
-        LOG.log(Level.WARNING, "ignored snapshot {0}: {1}", found.file(), fault);
+        LOG.log(Level.WARNING, "ignored snapshot {0}: {1}", snapshot.file(), reason);
     }
 
     /** Carries out what the membership asks for. */
@@ -954,9 +955,9 @@
                 .ifPresent(observations -> learner.receive(observations, MonotonicClock.now()));
     }
 
-    private List<NodeObservation> decodeObservations(SnapshotStore.SnapshotFile found)
-            throws IOException {
-        return Codec.decodeSnapshot(found.body(), config.name(), found.age(), MonotonicClock.now())
+    private List<NodeObservation> decodeObservations(SnapshotFile snapshot) throws IOException {
+        return Codec.decodeSnapshot(
+                        snapshot.body(), config.name(), snapshot.age(), MonotonicClock.now())
                 .orElseThrow(() -> new IOException("written by an instance of another name"));
     }
 }
